--- a/marbleglade/policy/__init__.py
+++ b/marbleglade/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of a front, free of I/O, clocks and chance."""
+"""All routing, retry and fill decisions of a front. Without I/O; time and random numbers are passed in."""
--- a/marbleglade/policy/cache_priority.py
+++ b/marbleglade/policy/cache_priority.py
@@ -1,18 +1,18 @@
-"""How readily a cache is to keep an object: the more often it was requested, the more readily."""
+"""The priority with which a cache should keep an object; it rises with the number of requests."""
 
 from __future__ import annotations
 
-UNCACHED_PRIORITY = 0  # the upstream is not asked to keep the object
-FIRST_CACHE_PRIORITY = 1  # of an object that was requested once: it displaces only its like
+UNCACHED_PRIORITY = 0  # the upstream should not cache the object
+FIRST_CACHE_PRIORITY = 1  # for an object requested once; it may evict only objects of this priority
 MAX_CACHE_PRIORITY = 3
-REQUESTS_PER_PRIORITY = 2  # requests of an object by which its priority rises by one
+REQUESTS_PER_PRIORITY = 2  # number of requests that raises the priority by one
 
 
 def cache_priority(requests: int, uncacheable: bool) -> int:
-    """Return the priority of an object.
+    """Return the cache priority of an object.
 
     Args:
-        requests: How often it was requested, this time included.
+        requests: Number of requests for the object, including the current one.
         uncacheable: Whether responses of the request class are never cached.
     """
     if uncacheable:
--- a/marbleglade/policy/cache_selection.py
+++ b/marbleglade/policy/cache_selection.py
@@ -1,4 +1,4 @@
-"""Which caches of this front's zone a request may go to."""
+"""Selection of the caches in this front's zone to which a request may be sent."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CacheSelection:
-    """Selects the zone's caches by the rendezvous hash, their health and their slow start."""
+    """Selects caches by rendezvous hash, upstream health and slow start."""
 
     def __init__(self, upstreams: KnownUpstreams, fleet_hints: FleetHints, slow_start: SlowStart) -> None:
         self._upstreams = upstreams
@@ -20,16 +20,16 @@
         self._slow_start = slow_start
 
     def candidates(self, request: Request, now: int) -> list[Upstream]:
-        """Return the caches that may be asked, in the order of the hash."""
+        """Return the caches to which the request may be sent, in rendezvous order."""
         ranked = rank_by_rendezvous(self._upstreams.zone_caches, request.object_id, request.part)
         admitted = [
             cache
             for cache in ranked
             if may_send_to(request, cache, now) and self._slow_start.admits(request, cache, now)
         ]
-        # Where every cache is ejected the fault is not theirs alone: ejections count for nothing then.
+        # If every cache is ejected, the cause is probably not the caches, so ejections are ignored.
         usable = [cache for cache in admitted if cache.health.is_usable(now)] or admitted
-        # The fleet's suspicion is only a hint: it may exclude a minority of the caches, never most of them.
+        # Suspicion by the fleet is only a hint: it may exclude a minority of the caches but not half or more.
         if self._fleet_hints.last_view:
             trusted = [cache for cache in usable if now >= cache.health.suspected_until]
             mostly_trusted = len(trusted) > len(usable) - len(trusted)
--- a/marbleglade/policy/durations.py
+++ b/marbleglade/policy/durations.py
@@ -1,4 +1,4 @@
-"""Durations that the parts of the policy share, derived from its parameters."""
+"""Durations that the policy modules share, derived from the parameters."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from ..model.parameters import Parameters
 
-# Share of the longest client timeout for which an observation counts: it expires before the client that has
-# waited longest gives up.
+# How long an observation is valid, in percent of the longest client timeout. It expires before a client with
+# that timeout stops waiting.
 OBSERVATION_LIFETIME_PERCENT = 80
-# How often the policy's timer runs within the shortest latency objective: a deadline is handled late by at
-# most a sixteenth of the objective.
+# Timer runs within the shortest latency objective. A deadline is therefore handled at most a sixteenth of the
+# objective late.
 TIMER_RUNS_PER_OBJECTIVE = 16
 
 
@@ -19,8 +19,8 @@
 
     Attributes:
         shortest_objective: The shortest latency objective of all request classes.
-        observation_lifetime: How long an observation counts, such as that a cache holds an object.
-        timer_interval: How often the policy's timer runs.
+        observation_lifetime: How long an observation is valid, for example that a cache holds an object.
+        timer_interval: The interval between two runs of the policy's timer.
     """
 
     shortest_objective: int
--- a/marbleglade/policy/failure_attribution.py
+++ b/marbleglade/policy/failure_attribution.py
@@ -1,4 +1,4 @@
-"""Which upstream is held responsible for a failure, and when it is ejected as an outlier."""
+"""Attribution of failures to upstreams, and ejection of upstreams that are outliers."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 from .retry_budget import RETRY_PRICE, RetryBudget
 from .upstream_health import EJECTION_ERROR_RATE
 
-# An upstream is ejected at `EJECTION_ERROR_RATE` plus so many times the mean error rate of its peers.
+# An upstream is ejected at an error rate of `EJECTION_ERROR_RATE` plus this factor times the mean error rate
+# of its peers.
 PEER_ERROR_RATE_FACTOR = 1.5
-SILENT_OBJECTIVES = 8  # latency objectives without a response after which a parent counts as silent
-FULL_SHARE = 1  # of a failure: the upstream alone is held responsible
-# Added to the error rate of each suspect, so that one without failures gets a share of the next one, too.
+SILENCE_OBJECTIVES = 8  # time without a response after which a parent is silent, in latency objectives
+FULL_SHARE = 1  # share of a failure that is attributed to one upstream alone
+# Added to the error rate of each suspect, so that a suspect without earlier failures is attributed a share as
+# well.
 PRIOR_ERROR_RATE = EJECTION_ERROR_RATE / 8
 
 
 class FailureAttribution:
-    """Attributes failures to upstreams, and ejects those that do worse than their peers."""
+    """Attributes failures to upstreams and ejects those with a much higher error rate than their peers."""
 
     def __init__(
         self,
@@ -35,18 +37,18 @@
     ) -> None:
         self._host = host
         self._parameters = parameters
-        self._silent_after = durations.shortest_objective * SILENT_OBJECTIVES
+        self._silent_after = durations.shortest_objective * SILENCE_OBJECTIVES
         self._upstreams = upstreams
         self._retry_budget = retry_budget
 
     def attribute_and_eject_outlier(self, upstream: Upstream, share: float, now: int) -> None:
-        """Count a failure against an upstream; eject it if it now does worse than its peers.
+        """Record a failure of an upstream and eject the upstream if it is now an outlier.
 
-        An ejection opens its circuit, is logged, and fails over the attempts that wait for it.
+        An ejection opens the circuit, is logged, and fails over the attempts that wait for the upstream.
 
         Args:
-            upstream: The upstream that is held responsible.
-            share: Its share of the failure, above 0 and up to 1.
+            upstream: The upstream to which the failure is attributed.
+            share: The share of the failure that is attributed to it, above 0 and up to 1.
             now: The present time, ns.
         """
         upstream.health.record_result(share, now)
@@ -54,17 +56,17 @@
             self._eject(upstream, now)
 
     def split_and_eject_outliers(self, suspects: list[Upstream], now: int) -> None:
-        """Split one failure among suspects, by what their recent error rates make likely; eject outliers."""
+        """Split one failure among suspects in proportion to their recent error rates; eject outliers."""
         weights = [each.health.error_rate + PRIOR_ERROR_RATE for each in suspects]
         for suspect, weight in zip(suspects, weights, strict=True):
             self.attribute_and_eject_outlier(suspect, weight / sum(weights), now)
 
     def fail_over(self, attempt: Attempt, suspect: Upstream) -> None:
-        """Cancel an attempt, whose end starts a retry elsewhere; one that may not be retried goes on.
+        """Cancel an attempt if it may be retried, so that a retry is sent to another upstream.
 
         Args:
-            attempt: The attempt, in flight.
-            suspect: The upstream that it waits for, which the retry avoids.
+            attempt: An attempt in flight.
+            suspect: The upstream that the attempt waits for and that the retry avoids.
         """
         request = attempt.request
         has_effect = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
@@ -73,9 +75,9 @@
             self._host.cancel_attempt(attempt)
 
     def _is_outlier(self, upstream: Upstream, now: int) -> bool:
-        """Return whether an upstream that is not ejected yet does clearly worse than its peers.
+        """Return whether an upstream, not yet ejected, has a much higher error rate than its peers.
 
-        Where all fail alike there is no outlier: an ejection would only move the load.
+        If all fail equally there is no outlier, and an ejection would only move the load to the others.
         """
         peers = self._peer_error_rates(upstream, now)
         if now < upstream.health.circuit_open_until or not peers:
@@ -94,12 +96,12 @@
 
     @staticmethod
     def _waits_for(attempt: Attempt, upstream: Upstream, now: int) -> bool:
-        """Return whether an attempt waits for its upstream, or for a fill source if it is overdue."""
-        usual_time = network_allowance(attempt.request) + attempt.request.context.transfer_time
-        return attempt.upstream is upstream or now - attempt.sent_at > usual_time
+        """Return whether an attempt waits for an upstream; it waits for a fill source only if overdue."""
+        expected_time = network_allowance(attempt.request) + attempt.request.context.transfer_time
+        return attempt.upstream is upstream or now - attempt.sent_at > expected_time
 
     def _peer_error_rates(self, upstream: Upstream, now: int) -> list[float]:
-        """Return the error rates that an upstream is compared with; none: it has no peers."""
+        """Return the error rates of the peers of an upstream; empty if it has no peers."""
         if upstream.role is UpstreamRole.CACHE:
             group = self._upstreams.zone_caches
         else:
@@ -111,5 +113,5 @@
         )
         origin = self._upstreams.origin
         if (silent or not rates) and upstream.role is UpstreamRole.PARENT and origin:
-            return [origin.health.error_rate]  # no other parent is in use, or this one filled nothing
+            return [origin.health.error_rate]  # no other parent in use, or this one is silent
         return rates
--- a/marbleglade/policy/known_upstreams.py
+++ b/marbleglade/policy/known_upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams on the endpoint list, sorted by their role."""
+"""The upstreams on the endpoint list, grouped by role."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from .numbered_random import NumberedRandom
 from .upstream_health import UpstreamHealth
 
-EJECTION_OBJECTIVES = 2  # latency objectives that the first ejection of an upstream lasts
+FIRST_EJECTION_OBJECTIVES = 2  # duration of the first ejection, in shortest latency objectives
 
 
 class KnownUpstreams:
-    """All listed upstreams, and of each the health that this front observed.
+    """All listed upstreams, each with its health as observed by this front.
 
     Attributes:
-        listed: All, active or draining, in the order in which they were first listed.
-        zone_caches: The active caches of this front's zone; draining ones are left out.
-        parents: All parents, of any zone, draining ones included; `ParentSelection` skips those.
-        origin: The origin; None while none is listed.
+        listed: All upstreams, active or draining, in the order in which they were first listed.
+        zone_caches: The active caches in this front's zone, without draining caches.
+        parents: All parents in any zone, including draining parents, which `ParentSelection` skips.
+        origin: The origin, or None while no origin is listed.
     """
 
     def __init__(
@@ -43,14 +43,14 @@
         self._peak_counts = {UpstreamRole.CACHE: 1, UpstreamRole.PARENT: 1}
 
     def peak_count(self, role: UpstreamRole) -> int:
-        """Return the most zone caches, or parents, that were listed at once.
+        """Return the highest number of zone caches, or of parents, that were listed at the same time.
 
-        Where most of a zone restarts at once, the first few must not get the traffic of all.
+        If most of a zone restarts at once, the first upstreams to return must not receive all of its traffic.
         """
         return self._peak_counts[role]
 
     def update(self, upstreams: list[Upstream], complete: bool) -> None:
-        """Take in upstreams that changed, or the complete list."""
+        """Update the changed upstreams; if `complete` is True, remove all that are not in `upstreams`."""
         now = self._host.now()
         unlisted = [each for each in self.listed if each not in upstreams] if complete else []
         for upstream in unlisted:
@@ -68,13 +68,14 @@
         group = self._links.caches if upstream.role is UpstreamRole.CACHE else None
         link = LinkModel(self._parameters.fleet_size, now, self._durations.observation_lifetime, group)
         objective = self._durations.shortest_objective
-        # Fronts that learn of a start together must not all send at once: each owes a random transfer time.
+        # All fronts see a new upstream at about the same time and must not all send to it at once. Each front
+        # therefore starts with a random warm-up debt, expressed as transfer time.
         debt = self._random.draw() * objective
         return UpstreamHealth(
             now,
             started_at=upstream.started_at,
             warmup_debt=debt,
-            backoff=objective * EJECTION_OBJECTIVES,
+            backoff=objective * FIRST_EJECTION_OBJECTIVES,
             link=link,
         )
 
--- a/marbleglade/policy/link_observation.py
+++ b/marbleglade/policy/link_observation.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt shows of the links that it occupied."""
+"""Updates the link models from the results of attempts."""
 
 from __future__ import annotations
 
@@ -9,73 +9,76 @@
 from .link_model import CONGESTED_THROUGHPUT, LinkModel, LinkReservation
 from .upstream_health import EJECTION_ERROR_RATE, ERROR_RATE_WEIGHT
 
-CAPACITY_STEP = ERROR_RATE_WEIGHT / 4  # transfers by which a response in time raises a full link's capacity
-# Share of recent attempts without an answer in time above which a late failure shows congestion: one that is
-# lost among many says nothing of the link.
-LOSSY_RATE = EJECTION_ERROR_RATE / 2
-# One long wait must not outweigh the results after it: it counts as no more than so many usual times.
-MAX_USUAL_TIMES = 2
+CAPACITY_STEP = ERROR_RATE_WEIGHT / 4  # transfers that a response in time adds to the capacity of a full link
+# Share of recent attempts without an answer in time, above which a late failure indicates congestion. A
+# single lost response among many says nothing about the link.
+CONGESTION_LOSS_RATE = EJECTION_ERROR_RATE / 2
+# A wait counts as at most this many times the expected time, so that one long wait does not outweigh the
+# results after it.
+MAX_EXPECTED_TIMES = 2
 
 
 class LinkObserver:
-    """Passes results on to the link models, and the size of objects to their histories."""
+    """Records the results of attempts in the link models, and object sizes in the object histories."""
 
     def __init__(self, host: PolicyHost, durations: Durations) -> None:
         self._host = host
         self._min_backoff = durations.shortest_objective
 
     def observe(self, attempt: Attempt) -> None:
-        """Release the links of an attempt that ended, and update what is known of them.
+        """Release the links of an attempt that has ended, and update their models.
 
-        A quick response is evidence about each link that it used, a slow one only about the likely cause.
+        A fast response is evidence about every link that it used, a slow one only about the bottleneck.
         """
         context = attempt.request.context
         succeeded = attempt.result is AttemptResult.OK
         late = attempt.latency > attempt.request.request_class.latency_objective
         now = self._host.now()
-        cause = self._likely_cause(attempt).link
+        bottleneck = self._likely_bottleneck(attempt).link
         lost = late and not succeeded
-        cause.loss_rate += (lost - cause.loss_rate) * ERROR_RATE_WEIGHT
-        conclusive = self._is_conclusive(attempt, cause, late)
+        bottleneck.loss_rate += (lost - bottleneck.loss_rate) * ERROR_RATE_WEIGHT
+        conclusive = self._is_conclusive(attempt, bottleneck, late)
         time_spent = self._time_spent(attempt)
         quick = time_spent * CONGESTED_THROUGHPUT < context.transfer_time
         own_link = attempt.link_reservations[0].link
         for reservation in attempt.link_reservations:
             link = reservation.link
             link.in_flight -= 1
-            if conclusive and (link is cause or quick):
+            if conclusive and (link is bottleneck or quick):
                 link.observe(reservation.in_flight, context.transfer_time, time_spent, now)
-            elif succeeded and not late and link is cause and reservation.in_flight > link.capacity > 0:
+            elif succeeded and not late and link is bottleneck and reservation.in_flight > link.capacity > 0:
                 link.capacity += CAPACITY_STEP
             if context.is_fill_probe and link is not own_link:
                 link.record_probe(succeeded and not late, now, self._min_backoff)
         self._observe_size(attempt)
 
     @staticmethod
-    def _is_conclusive(attempt: Attempt, cause: LinkModel, late: bool) -> bool:
-        """Return whether the time of an attempt says something about its links.
+    def _is_conclusive(attempt: Attempt, bottleneck: LinkModel, late: bool) -> bool:
+        """Return whether the duration of an attempt is evidence about its links.
 
-        Of successes those do whose size is known and was transferred; of failures a rejection, and a late one
-        if the likely cause fails often.
+        A success is evidence if the size is known and a body was transferred. A failure is evidence if it is
+        a rejection, or if it is late and the likely bottleneck loses many responses.
         """
         if attempt.result is AttemptResult.OK:
             return attempt.request.context.size_known and not attempt.not_modified
-        return attempt.result is AttemptResult.REJECTED or (late and cause.loss_rate > LOSSY_RATE)
+        return attempt.result is AttemptResult.REJECTED or (
+            late and bottleneck.loss_rate > CONGESTION_LOSS_RATE
+        )
 
-    def _likely_cause(self, attempt: Attempt) -> LinkReservation:
-        """Return the link nearest to the origin, or the cache's own if it was a hit."""
+    def _likely_bottleneck(self, attempt: Attempt) -> LinkReservation:
+        """Return the link nearest to the origin or, for a hit, the cache's own link."""
         return attempt.link_reservations[0 if attempt.response_source is ResponseSource.HIT else -1]
 
     def _time_spent(self, attempt: Attempt) -> int:
-        """Return the time, ns, that the attempt counts as having spent on its links."""
+        """Return the time, ns, to record as spent on the links of an attempt."""
         request = attempt.request
-        usual = request.context.transfer_time + request.request_class.latency_objective
+        expected_time = request.context.transfer_time + request.request_class.latency_objective
         if attempt.result is AttemptResult.REJECTED:  # the last link had no capacity left
-            return usual
-        return min(attempt.latency - network_allowance(request), usual * MAX_USUAL_TIMES)
+            return expected_time
+        return min(attempt.latency - network_allowance(request), expected_time * MAX_EXPECTED_TIMES)
 
     def _observe_size(self, attempt: Attempt) -> None:
-        """Note the size of an object if its request did not state it; a response without body shows none."""
+        """Record the size of an object if its request did not state it and a body was received."""
         succeeded = attempt.result is AttemptResult.OK
         if not attempt.request.size_kb and succeeded and not attempt.not_modified:
             history = attempt.request.context.history
--- a/marbleglade/policy/load_estimate.py
+++ b/marbleglade/policy/load_estimate.py
@@ -5,10 +5,9 @@
 from ..model.request import RequestClass
 from .link_model import DecayingSum
 
-# The transfer time that is assumed until a request of the class was observed, as a share of its latency
-# objective.
+# Assumed transfer time until a request of the class has been observed, as a share of its latency objective.
 ASSUMED_TRANSFER_SHARE = 1 / 4
-# Weight of one request in the mean transfer time of its class: about the last 50 requests count.
+# Weight of one request in the mean transfer time of its class, which averages about the last 50 requests.
 TRANSFER_TIME_WEIGHT = 0.02
 
 
@@ -20,8 +19,8 @@
         window: Time over which attempts lose their weight in `recent`, ns.
 
     Attributes:
-        recent: Transfer time of the attempts within the window, ns.
-        total: Transfer time of all attempts since the start, ns.
+        recent: Decaying sum of the transfer times of attempts within the window, ns.
+        total: Transfer time of all attempts since the process started, ns.
     """
 
     def __init__(self, now: int, window: int) -> None:
@@ -29,18 +28,18 @@
         self.total = 0
 
     def mean_transfer_time(self, request_class: RequestClass) -> int:
-        """Return the mean that was observed, else a share of the latency objective; ns."""
+        """Return the observed mean or, before the first request, a share of the latency objective; ns."""
         assumed = request_class.latency_objective * ASSUMED_TRANSFER_SHARE
         return int(request_class.mean_transfer_time or assumed)
 
     def observe_transfer_time(self, request_class: RequestClass, transfer_time: int) -> None:
-        """Take the transfer time of one request, ns, into the mean of its class."""
+        """Update the mean of a class with the transfer time of one request, ns."""
         mean = self.mean_transfer_time(request_class)
         request_class.mean_transfer_time = (
             mean * (1 - TRANSFER_TIME_WEIGHT) + transfer_time * TRANSFER_TIME_WEIGHT
         )
 
     def add_attempt(self, request_class: RequestClass, now: int) -> None:
-        """Count one attempt, with the mean transfer time of its class."""
+        """Add one attempt to the load, with the mean transfer time of its class."""
         self.recent.add(self.mean_transfer_time(request_class), now)
         self.total += self.mean_transfer_time(request_class)
--- a/marbleglade/policy/load_probing.py
+++ b/marbleglade/policy/load_probing.py
@@ -1,4 +1,4 @@
-"""When caches are probed for the congestion of this zone's link."""
+"""Schedules load probes, which report the congestion of this zone's link."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from .known_upstreams import KnownUpstreams
 from .numbered_random import NumberedRandom
 
-# The interval between two probes of a front, in latency objectives: the least, and the random part on top,
-# which spreads the fronts out.
+# The minimum interval between two probes of a front, and the maximum random addition, which spreads the
+# probes of different fronts; both in shortest latency objectives.
 MIN_INTERVAL_OBJECTIVES = 6
 INTERVAL_SPREAD_OBJECTIVES = 4
-FLEET_PROBER_RATE = 4  # times as often where one front probes for all
+FLEET_PROBER_RATE_FACTOR = 4  # factor on the probe rate of a front that probes for the whole zone
 
 
 class LoadProbing:
     """Probes a random cache of the zone about once in eight latency objectives.
 
-    Where the fleet has assigned the probing of a zone to one front, that front alone probes, more often.
+    If the fleet has assigned one front to probe the zone, only that front sends probes, at a higher rate.
     """
 
     def __init__(
@@ -37,18 +37,18 @@
         self._upstreams = upstreams
         self._fleet_hints = fleet_hints
         self._random = random
-        self._next_at = 0  # ns
+        self._next_probe_at = 0  # ns
 
     def run(self, now: int) -> None:
-        """Probe a cache if it is time."""
+        """Send a load probe if one is due; `now` in ns."""
         caches = self._upstreams.zone_caches
-        if not self._allowed or not caches or now < self._next_at:
+        if not self._allowed or not caches or now < self._next_probe_at:
             return
         view = self._fleet_hints.current_view(now)
         if view and not view.is_load_prober:
             return
         objectives = MIN_INTERVAL_OBJECTIVES + INTERVAL_SPREAD_OBJECTIVES * self._random.draw()
         interval = self._objective * objectives
-        interval /= FLEET_PROBER_RATE if view else 1
-        self._next_at = now + int(interval)
+        interval /= FLEET_PROBER_RATE_FACTOR if view else 1
+        self._next_probe_at = now + int(interval)
         self._host.probe_load(caches[int(self._random.draw() * len(caches))])
--- a/marbleglade/policy/numbered_random.py
+++ b/marbleglade/policy/numbered_random.py
@@ -1,16 +1,16 @@
-"""A reproducible random sequence, which also numbers the deadlines."""
+"""A reproducible pseudo-random sequence with a sequence counter that deadlines share."""
 
 from __future__ import annotations
 
 import zlib
 
-CRC_LIMIT = 2**32  # all CRC-32 are below it
+CRC_LIMIT = 2**32  # exclusive upper bound of CRC-32 values
 
 
 class NumberedRandom:
-    """Pseudo-random numbers that follow from a seed and a count of calls.
+    """Pseudo-random numbers derived from a seed and a counter.
 
-    Deadlines draw their sequence numbers from the same count, so that a run can be repeated exactly.
+    Deadlines take their sequence numbers from the same counter, so that a run can be repeated exactly.
     """
 
     def __init__(self, seed: int) -> None:
@@ -18,10 +18,10 @@
         self._count = 0
 
     def next_number(self) -> int:
-        """Return the next number of the count, from 1 on."""
+        """Increment the counter and return it; the first number is 1."""
         self._count += 1
         return self._count
 
     def draw(self) -> float:
-        """Draw a number from 0 up to 1."""
+        """Return a pseudo-random number from 0 (inclusive) to 1 (exclusive)."""
         return zlib.crc32(b"%d %d" % (self._seed, self.next_number())) / CRC_LIMIT
--- a/marbleglade/policy/object_history.py
+++ b/marbleglade/policy/object_history.py
@@ -1,4 +1,4 @@
-"""What the policy remembers of objects, longer than the directory lists them."""
+"""Request history of objects, which is kept for longer than directory entries."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 from ..model.upstream import Upstream
 
-ObjectKey = tuple[int, int]  # object and part
+ObjectKey = tuple[int, int]  # object ID and part number
 
 
 @dataclass(slots=True, eq=False)
 class ObjectHistory:
-    """The use of one part of an object."""
+    """The request history of one part of an object."""
 
-    uses: int = 0
-    transfer_time: int = 0  # at full throughput, ns; 0: not known
-    likely_holder: Upstream | None = None  # the cache that answered last
-    answered_at: int = 0  # when it did, ns
+    uses: int = 0  # number of requests
+    transfer_time: int = 0  # ns at full throughput; 0 if unknown
+    likely_holder: Upstream | None = None  # the cache that sent the last answer
+    answered_at: int = 0  # time of that answer, ns
 
 
 class ObjectHistories:
-    """The histories of the objects requested last."""
+    """The histories of the most recently requested parts (LRU)."""
 
     def __init__(self, max_entries: int) -> None:
         self._max_entries = max_entries
         self._histories: OrderedDict[ObjectKey, ObjectHistory] = OrderedDict()
 
     def get(self, object_id: int, part: int) -> ObjectHistory:
-        """Return the history of a part, which counts as requested last."""
+        """Return the history of a part and mark it as most recently used; create it if it is missing."""
         key = object_id, part
         history = self._histories.get(key)
         if history is None:
@@ -41,5 +41,5 @@
         return history
 
     def most_used(self, count: int) -> list[ObjectKey]:
-        """Return the parts that were requested most, the most requested one first."""
+        """Return the `count` most requested parts, in descending order of requests."""
         return heapq.nlargest(count, self._histories, key=lambda key: self._histories[key].uses)
--- a/marbleglade/policy/origin_overload.py
+++ b/marbleglade/policy/origin_overload.py
@@ -1,4 +1,4 @@
-"""Sheds the load of new objects before the origin is overloaded."""
+"""Sheds requests for new objects before the origin becomes overloaded."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from ..model.request import Request
 from .link_model import SharedLinks
 
-SAFE_LOAD = 0.8  # share of the load at which the origin stops; above it new objects are not fetched
-PRIORITY_WINDOW = 64  # requests over which the mean priority is taken
-# Bounds of the factor by which its priority over the mean moves the limit of a request: none is starved.
+SAFE_ORIGIN_LOAD = 0.8  # share of the load at which the origin fails; above it new objects are shed
+PRIORITY_WINDOW = 64  # number of requests over which the mean priority is taken
+# Bounds of the factor by which the relative priority of a request adjusts its limit. They prevent starvation.
 MIN_PRIORITY_FACTOR = 7 / 8
 MAX_PRIORITY_FACTOR = 5 / 4
 
 
 class OriginOverload:
-    """Detects that the origin is close to overload, by how much slower its fetches are than other transfers.
+    """Detects that the origin is close to overload from the slowdown of fetches relative to other transfers.
 
     An overloaded origin serves nothing for seconds.
     """
@@ -25,12 +25,12 @@
         self._mean_priority = 0.0  # priority weight per transfer time of new objects
 
     def record_and_refuse(self, request: Request, now: int) -> bool:
-        """Record the priority of a request for a new object; return whether not to fetch it at present.
+        """Record the priority of a request for a new object and return whether to refuse the fetch.
 
-        Requests of the least priority per transfer time are refused first, at all fronts alike.
+        Requests with the lowest priority per transfer time are refused first, and equally at all fronts.
         """
         relative_priority = self._record_priority(request)
-        limit = self._overload_factor * SAFE_LOAD * min(MAX_PRIORITY_FACTOR, relative_priority)
+        limit = self._overload_factor * SAFE_ORIGIN_LOAD * min(MAX_PRIORITY_FACTOR, relative_priority)
         if limit <= 0:
             return False
         links = self._links
@@ -38,7 +38,7 @@
         return limit < fetch_slowdown / max(links.caches.slowdown(now), links.fills.slowdown(now))
 
     def _record_priority(self, request: Request) -> float:
-        """Take a priority into the mean; return it over the mean, or the lower bound if that is more."""
+        """Update the mean priority; return the ratio of the priority to it, at least the lower bound."""
         priority = request.request_class.priority_weight / (request.context.transfer_time or 1)
         if self._mean_priority:
             self._mean_priority = (self._mean_priority * (PRIORITY_WINDOW - 1) + priority) / PRIORITY_WINDOW
--- a/marbleglade/policy/parent_selection.py
+++ b/marbleglade/policy/parent_selection.py
@@ -1,4 +1,4 @@
-"""Which parent fills an object."""
+"""Selection of the parent that fills an object."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from .rendezvous import rank_by_rendezvous
 from .slow_start import SlowStart
 
-ANY_PART = 0  # all parts of an object have the same parent
+PARENT_HASH_PART = 0  # hashed in place of the part, so that all parts of an object have the same parent
 
 
 class ParentSelection:
@@ -19,8 +19,8 @@
         self._slow_start = slow_start
 
     def select(self, request: Request, now: int) -> Upstream | None:
-        """Return the first usable parent in the order of the hash; None if there is none."""
-        for parent in rank_by_rendezvous(self._upstreams.parents, request.object_id, ANY_PART):
+        """Return the first usable parent in rendezvous order, or None."""
+        for parent in rank_by_rendezvous(self._upstreams.parents, request.object_id, PARENT_HASH_PART):
             usable = (
                 parent.state is UpstreamState.ACTIVE
                 and parent.health.is_usable(now)
@@ -31,5 +31,5 @@
         return None
 
     def select_or_origin(self, request: Request, now: int) -> Upstream | None:
-        """Return what fills a miss: the selected parent, else the origin; None if there is neither."""
+        """Return the fill source for a miss: the selected parent, else the origin, else None."""
         return self.select(request, now) or self._upstreams.origin
--- a/marbleglade/policy/policy.py
+++ b/marbleglade/policy/policy.py
@@ -1,9 +1,10 @@
-"""The policy of one front: where a request is sent, what fills a miss, when to retry or give up.
+"""The policy of one front: selects upstreams and fill sources, and decides on retries and rejections.
 
-A front creates one `Policy` and calls it as `PolicyProtocol` says; the policy acts through `PolicyHost`, and
-is free of I/O and clocks. A request passes the stages `Admission`, `Retry`, `LocalCacheStage`, `Routing`,
-`FillSource` and `Dispatch` until one of them sends an attempt or ends it; the result of an attempt passes
-them in reverse order. `docs/design.md` gives the reasons.
+A front creates one `Policy` and calls it through `PolicyProtocol`; the policy acts through `PolicyHost` and
+uses neither I/O nor clocks of its own. A request passes through the stages `Admission`, `Retry`,
+`LocalCacheStage`, `Routing`, `FillSource` and `Dispatch` until one of them sends an attempt or ends the
+request. The result of an attempt passes through the stages in reverse order. See `docs/design.md` for the
+reasons behind this design.
 """
 
 from __future__ import annotations
@@ -43,12 +44,13 @@
 from .stages.stage import ResultStage
 from .timers import AttemptTimers
 
-MAX_OBJECTS = 1 << 13  # parts of objects that the directory, and the histories, list at most
-RECOVERED_OBJECTIVES = 4  # latency objectives for which a recovered upstream is reported to the fleet
+MAX_OBJECTS = 1 << 13  # capacity of the directory, and of the object histories, in parts of objects
+# How long a recovered upstream is reported to the fleet, in shortest latency objectives.
+RECOVERY_REPORT_OBJECTIVES = 4
 
 
 class Policy:
-    """Puts the parts together and passes each event on to the part that handles it."""
+    """Creates the components of the policy and dispatches each event to the component that handles it."""
 
     def __init__(self, parameters: Parameters, host: PolicyHost) -> None:
         self.parameters = parameters
@@ -118,63 +120,68 @@
         self._result_stages: list[ResultStage] = [dispatch, self.fill_source, retry, self._admission]
 
     def update_endpoints(self, upstreams: list[Upstream], complete: bool) -> None:
-        """Take in upstreams that changed, or the complete endpoint list."""
+        """Update the upstreams.
+
+        Args:
+            upstreams: The upstreams that changed, or the complete endpoint list.
+            complete: Whether the list is complete; upstreams that it does not contain are then removed.
+        """
         self.upstreams.update(upstreams, complete)
 
     def endpoints_unavailable(self) -> None:
-        """Poll for the endpoint list again."""
+        """Poll for the endpoint list again after a poll has failed."""
         self.host.poll_endpoints()
 
     def handle_request(self, request: Request) -> None:
-        """Decide on a new request."""
+        """Pass a new request to the first stage."""
         self._admission.handle_request(request)
 
     def client_disconnected(self, request: Request) -> None:
-        """Cancel the attempts of a request whose client has left."""
+        """Cancel the attempts in flight of a request whose client has disconnected."""
         for attempt in request.attempts:
             if attempt.result is None and self.parameters.can_cancel:
                 self.host.cancel_attempt(attempt)
 
     def response_started(self, attempt: Attempt) -> None:
-        """Note that the first bytes of a response arrived."""
+        """Record that the first bytes of a response have arrived."""
         attempt.request.context.response_started = True
         attempt.upstream.health.last_response_at = self.host.now()
 
     def attempt_finished(self, attempt: Attempt) -> None:
-        """Take in the result of an attempt, stage by stage until one of them keeps it."""
+        """Pass the result of an attempt to the stages in reverse order, until one of them consumes it."""
         for stage in self._result_stages:
             if not stage.handle_result(attempt):
                 break
 
     def on_timer(self) -> None:
-        """Do what is due, and schedule the next run."""
+        """Schedule the next run, send load probes that are due and check expired attempt deadlines."""
         now = self.host.now()
         self.host.schedule_wakeup(self.durations.timer_interval)
         self.load_probing.run(now)
         self.timers.run_expired(now)
 
     def handle_purge(self, object_id: int, group: int, purged_at: int) -> None:
-        """Take in a purge of an object or, where that is 0, of a group."""
+        """Apply a purge of an object or, if `object_id` is 0, of a group; `purged_at` in ns."""
         self.cache_age.add_purge(object_id, group, purged_at, self.host.now())
         self.directory.purge(object_id, group)
 
     def limit_cache_age(self, max_age: int) -> None:
-        """Limit the age of every cached response, ns; 0 (`DEFAULT_MAX_AGE`) ends the limit."""
+        """Limit the age of all cached responses to `max_age` ns; 0 (`DEFAULT_MAX_AGE`) removes the limit."""
         self.cache_age.set_general_limit(max_age)
 
     def give_up(self, request: Request, reason: str = "") -> None:
-        """Reject a request at once if a retry of its client is safe, else fail it."""
+        """Reject a request at once if its client may safely retry it, else fail it."""
         self.rejection.give_up(request, reason)
 
     def apply_fleet_view(self, view: FleetView) -> None:
-        """Take in what the fleet observed together."""
+        """Apply the combined observations of all fronts in the fleet."""
         self.fleet_hints.apply(view)
 
     def observations(self) -> LoadObservations:
-        """Return what this front observed, for the fleet."""
+        """Return the observations of this front, which are sent to the fleet."""
         now = self.host.now()
         upstreams = [(name_hash(each.name), each.health) for each in self.upstreams.listed]
-        recent = self.durations.shortest_objective * RECOVERED_OBJECTIVES
+        recent = self.durations.shortest_objective * RECOVERY_REPORT_OBJECTIVES
         return LoadObservations(
             requested_work=self.load.total,
             first_requests=self.retry_budget.first_requests,
@@ -182,14 +189,14 @@
             rejected=self.rejection.count,
             links={
                 number: LinkUsage(link.total_work, link.total_time)
-                for number, link in self.links.numbered(self.parameters.zone)
+                for number, link in self.links.numbered_links(self.parameters.zone)
             },
             open_circuits=[name for name, health in upstreams if health.is_ejected],
             recovered=[name for name, health in upstreams if now - health.recovered_at < recent],
         )
 
     def preferred_upstreams(self, count: int) -> list[list[Upstream]]:
-        """Return, of the objects requested most, the zone's caches in the order of the hash."""
+        """Return the zone's caches in rendezvous order, for each of the `count` most requested objects."""
         caches = self.upstreams.zone_caches
         most_used = self.histories.most_used(count)
         return [rank_by_rendezvous(caches, object_id, part) for object_id, part in most_used]
--- a/marbleglade/policy/rendezvous.py
+++ b/marbleglade/policy/rendezvous.py
@@ -1,4 +1,7 @@
-"""Rendezvous hashing (highest random weight; Thaler and Ravishankar, 1996): fronts agree without messages."""
+"""Rendezvous hashing (highest random weight; Thaler and Ravishankar, 1996).
+
+All fronts compute the same order without exchanging messages.
+"""
 
 from __future__ import annotations
 
@@ -7,15 +10,15 @@
 from ..model.upstream import Upstream
 from ..runtime.stable_hash import stable_hash
 
-CACHED_SCORES = 1 << 13  # scores that need not be computed again
+SCORE_CACHE_SIZE = 1 << 13  # number of memoised scores
 
 
-@lru_cache(CACHED_SCORES)
+@lru_cache(SCORE_CACHE_SIZE)
 def rendezvous_score(object_id: int, part: int, name: bytes) -> int:
-    """Return an upstream's weight for a part of an object, below `HASH_LIMIT`; alike at every front."""
+    """Return the weight of an upstream for a part of an object, below `HASH_LIMIT`; equal at every front."""
     return stable_hash(b"%d %d " % (object_id, part) + name)
 
 
 def rank_by_rendezvous(upstreams: list[Upstream], object_id: int, part: int) -> list[Upstream]:
-    """Sort upstreams by their weight for a part of an object, the preferred one first."""
+    """Return upstreams in descending order of their weight for a part of an object."""
     return sorted(upstreams, key=lambda each: rendezvous_score(object_id, part, each.name), reverse=True)
--- a/marbleglade/policy/request_context.py
+++ b/marbleglade/policy/request_context.py
@@ -1,4 +1,4 @@
-"""What the policy notes on one request while it is open."""
+"""The state that the policy keeps for each open request."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @dataclass(slots=True, eq=False)
 class RequestContext:
-    """The notes of the stages on one request."""
+    """The state of one request that the stages share."""
 
     history: ObjectHistory
-    transfer_time: int  # at full throughput, ns; an estimate unless `size_known`
+    transfer_time: int  # ns at full throughput; an estimate unless `size_known` is True
     size_known: bool
-    is_new_object: bool  # requested for the first time
-    objective_at: int = 0  # end of the latency objective, ns
+    is_new_object: bool  # whether this front has no earlier request for the object on record
+    objective_at: int = 0  # time at which the latency objective ends, ns
     cache_priority: int = 1
     response_started: bool = False
-    is_fill_probe: bool = False  # sent to find out whether fills are still slow
-    avoided: list[Upstream] = field(default_factory=list)  # not for a retry: suspects, or without the object
-    unexplained_errors: list[Attempt] = field(default_factory=list)  # perhaps no such object exists
+    is_fill_probe: bool = False  # whether it was sent to test if fills are still slow
+    avoided: list[Upstream] = field(default_factory=list)  # excluded from retries: suspected or lacking it
+    unexplained_errors: list[Attempt] = field(default_factory=list)  # the object may not exist
--- a/marbleglade/policy/retry_budget.py
+++ b/marbleglade/policy/retry_budget.py
@@ -1,23 +1,23 @@
-"""The retry budget: first requests earn retries, so that retries stay a fixed share of the load."""
+"""The retry budget, which limits retries to a fixed share of the first requests."""
 
 from __future__ import annotations
 
 from ..model.policy_protocol import PolicyHost
 from .fleet_hints import FleetHints
 
-RETRY_PRICE = 1  # tokens that a retry costs, unless it is a cheap one
-RETRY_BUDGET_RATIO = 0.2  # tokens that each first request adds
-RETRY_BUDGET_BURST = 12  # tokens that may be saved up
-MIN_BURST = 1.0  # tokens; where the fleet lends none, one retry may still be saved up
+RETRY_PRICE = 1  # tokens withdrawn for a retry at full price
+RETRY_BUDGET_RATIO = 0.2  # tokens deposited for each first request
+RETRY_BUDGET_BURST = 12  # capacity of the bucket, in tokens
+MIN_BURST = 1.0  # tokens; lower bound of the capacity if the fleet lends none: room for one retry
 
 
 class RetryBudget:
-    """A token bucket of retries; what other fronts leave unused is lent by the fleet.
+    """A token bucket for retries; the fleet adds unused budget of other fronts to its rate and capacity.
 
     Attributes:
-        tokens: What is saved up.
-        first_requests: Number of requests since the start that are no retries of clients.
-        spent: Tokens that retries have cost since the start.
+        tokens: Tokens available.
+        first_requests: Number of requests since the process started that were not client retries.
+        spent: Tokens withdrawn since the process started.
     """
 
     def __init__(self, host: PolicyHost, fleet_hints: FleetHints) -> None:
@@ -28,9 +28,9 @@
         self.spent = 0.0
 
     def deposit(self) -> None:
-        """Count a first request, one that is no retry of its client; it pays for a share of a retry.
+        """Count a first request, which is not a client retry, and deposit tokens for it.
 
-        Attempts are not counted: a request that gets none, or many, pays once.
+        There is one deposit for each request, independent of its number of attempts.
         """
         self.first_requests += 1
         view = self._fleet_hints.current_view(self._host.now())
@@ -40,10 +40,10 @@
         self.tokens = min(burst, self.tokens + RETRY_BUDGET_RATIO * ratio_factor)
 
     def affords(self, price: float) -> bool:
-        """Return whether a retry at that price, in tokens, can be paid; nothing is reserved for it."""
+        """Return whether `price` tokens are available; none are reserved."""
         return self.tokens >= price
 
     def withdraw(self, price: float) -> None:
-        """Pay for a retry. Not checked again: call it only after `affords` returned True for that price."""
+        """Withdraw tokens for a retry without a check; call it only after `affords` returned True."""
         self.tokens -= price
         self.spent += price
--- a/marbleglade/policy/retry_safety.py
+++ b/marbleglade/policy/retry_safety.py
@@ -1,4 +1,4 @@
-"""Which upstreams a request that may have run already may be sent to again."""
+"""Decides where a request may be sent again after an attempt that may already have run."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def may_send_to(request: Request, upstream: Upstream, now: int) -> bool:
-    """Return whether an attempt there can't run the request a second time with an effect.
+    """Return whether an attempt at an upstream cannot repeat the effect of the request.
 
-    A request that may have run is sent only to upstreams that would recognise it as a repeat, and to none
-    if it may not be repeated, or once its deduplication window is over.
+    A request that may have run is sent only to upstreams that would detect the duplicate. It is sent nowhere
+    if it must not be repeated or if its deduplication window has ended.
     """
     request_class = request.request_class
     first = next((each for each in request.attempts if each.may_have_run), None)
--- a/marbleglade/policy/slow_start.py
+++ b/marbleglade/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: an upstream that started lately gets a growing share of the keys and of the load."""
+"""Slow start: a recently started upstream receives a growing share of the keys and of the load."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from .load_estimate import LoadEstimate
 from .rendezvous import rendezvous_score
 
-KEY_RANGE_PART = -1  # stands for the part of an object where the hash selects a key range
-# Share that a cold upstream is given of the load that it bears; the rest is for retries and random variation.
+KEY_RANGE_PART = -1  # hashed in place of the part to select a key range
+# Share of a cold upstream's capacity that is used; the rest is left for retries and random variation.
 PLANNED_LOAD_SHARE = 1 / 2
-# Share of the window over which load is averaged (`Parameters.overload_window`) whose budget may be saved up.
-SAVED_WINDOW_SHARE = 1 / 2
+# Maximum unused budget, as a share of the averaging window of the load (`Parameters.overload_window`).
+MAX_SAVED_WINDOW_SHARE = 1 / 2
 
 
 class SlowStartRule(NamedTuple):
-    """How the upstreams of one role warm up.
+    """The slow start parameters for upstreams of one role.
 
     Attributes:
-        role: Their role.
-        initial_share: Share of a warm one's load that one bears which has just started, 0 to 1.
-        duration: Time in which that share grows to 1, ns; after it nothing is limited.
-        overload_factor: Load over the usual one above which a cold one is overloaded.
+        role: The role.
+        initial_share: Capacity of an upstream that has just started, as a share of a warm one's load, 0 to 1.
+        duration: Time in which that share grows to 1, ns; afterwards there is no limit.
+        overload_factor: Ratio of load to normal load above which a cold upstream is overloaded.
     """
 
     role: UpstreamRole
@@ -36,7 +36,7 @@
 
 
 class SlowStart:
-    """Limits what is sent to upstreams while they warm up."""
+    """Limits the load on upstreams while they warm up."""
 
     def __init__(self, parameters: Parameters, upstreams: KnownUpstreams, load: LoadEstimate) -> None:
         self._parameters = parameters
@@ -44,11 +44,12 @@
         self._load = load
 
     def admits(self, request: Request, upstream: Upstream, now: int) -> bool:
-        """Return whether the object is in the upstream's key range and its warm-up budget is not spent.
+        """Return whether the object is in the upstream's key range and its warm-up budget is not exhausted.
 
-        Both follow one share: that of a warm upstream's load which it bears by its age, times the overload
-        factor, times `PLANNED_LOAD_SHARE`. It is the part of the hash's range that the key range has, and the
-        part of the recent load of one such upstream by which the budget grows. A call refills the budget.
+        Key range and budget depend on one share: the share of a warm upstream's load that an upstream of this
+        age can serve, times the overload factor, times `PLANNED_LOAD_SHARE`. The key range covers this share
+        of the hash range. The budget grows by this share of the mean recent load per upstream of the role.
+        Each call refills the budget.
         """
         if not upstream.started_at:
             return True
@@ -82,9 +83,9 @@
         )
 
     def _refill(self, upstream: Upstream, rate: float, now: int) -> None:
-        """Add to the warm-up budget what `rate` (transfer time per time) has earned since the last call."""
+        """Increase the warm-up budget by the elapsed time times `rate` (transfer time per time)."""
         health = upstream.health
         elapsed = now - max(health.warmup_budget_at, upstream.started_at)
         health.warmup_budget_at = now
-        limit = rate * self._parameters.overload_window * SAVED_WINDOW_SHARE
+        limit = rate * self._parameters.overload_window * MAX_SAVED_WINDOW_SHARE
         health.warmup_budget = min(health.warmup_budget + rate * max(elapsed, 0), limit)
--- a/marbleglade/policy/timers.py
+++ b/marbleglade/policy/timers.py
@@ -1,6 +1,7 @@
-"""Deadlines of attempts: detects upstreams that accept attempts and never answer.
+"""Attempt deadlines, which detect upstreams that accept attempts and never answer.
 
-Their silence is attributed to them as a failure, which may eject them, and the attempts fail over.
+A missing answer is attributed to the upstream as a failure. If that ejects the upstream, its attempts fail
+over to others.
 """
 
 from __future__ import annotations
@@ -15,25 +16,26 @@
 from .failure_attribution import FULL_SHARE, FailureAttribution
 from .numbered_random import NumberedRandom
 
-CHECKS_PER_OBJECTIVE = 2  # how often an overdue attempt is checked within the shortest latency objective
-# Overdue attempts, without a response between, that show that a cache is silent: one alone may be a long one.
+OVERDUE_CHECKS_PER_OBJECTIVE = 2  # checks of an overdue attempt within the shortest latency objective
+# Number of overdue attempts, with no response in between, after which a cache counts as silent. A single
+# overdue attempt may only have a slow response.
 MIN_OVERDUE_ATTEMPTS = 2
-# Share of a failure that is attributed to a fill source from which nothing came; less where responses do not
-# show whether it filled anything.
+# Share of a failure that is attributed to a fill source that has not answered. The second value applies where
+# responses do not report whether the source filled anything.
 SILENT_SOURCE_SHARE = 1 / 2
 UNREPORTED_SOURCE_SHARE = 1 / 4
 
 
 class AttemptDeadline(NamedTuple):
-    """When an attempt is checked, unless it has ended; sorts by time, then by number."""
+    """The time at which an attempt is checked unless it has ended; sorts by time, then by number."""
 
     expires_at: int  # ns
-    number: int  # of the scheduling, so that no two entries are equal
+    number: int  # sequence number of the scheduling, so that no two entries compare equal
     attempt: Attempt
 
 
 class AttemptTimers:
-    """The deadlines of all attempts in one queue; equal ones expire in the order of their scheduling."""
+    """A priority queue of the deadlines of all attempts; equal deadlines expire in scheduling order."""
 
     def __init__(
         self,
@@ -42,25 +44,25 @@
         random: NumberedRandom,
         attribution: FailureAttribution,
     ) -> None:
-        self._check_interval = durations.shortest_objective // CHECKS_PER_OBJECTIVE
+        self._check_interval = durations.shortest_objective // OVERDUE_CHECKS_PER_OBJECTIVE
         reported = parameters.reports_cache_status
         self._source_share = SILENT_SOURCE_SHARE if reported else UNREPORTED_SOURCE_SHARE
-        self._numbers = random
+        self._sequence = random
         self._attribution = attribution
-        self._deadlines: list[AttemptDeadline] = []  # a heap
+        self._deadlines: list[AttemptDeadline] = []  # a binary heap
 
     def schedule(self, deadline: int, attempt: Attempt) -> None:
-        """Add the deadline of an attempt, ns."""
-        entry = AttemptDeadline(deadline, self._numbers.next_number(), attempt)
+        """Schedule a check of an attempt at `deadline`, ns."""
+        entry = AttemptDeadline(deadline, self._sequence.next_number(), attempt)
         heapq.heappush(self._deadlines, entry)
 
     def run_expired(self, now: int) -> None:
-        """Handle all deadlines that have passed."""
+        """Check the attempts whose deadlines have passed; `now` in ns."""
         while self._deadlines and self._deadlines[0].expires_at <= now:
             self._on_timeout(heapq.heappop(self._deadlines).attempt, now)
 
     def _on_timeout(self, attempt: Attempt, now: int) -> None:
-        """Fail over from an ejected upstream, else find a silent one and check the attempt again later."""
+        """Fail over if an upstream is ejected, else look for a silent one and schedule another check."""
         request, context = attempt.request, attempt.request.context
         if attempt.result is not None or request.finished or context.response_started:
             return
@@ -72,21 +74,22 @@
         if suspect := self._silent_upstream(attempt, lateness, now):
             share = FULL_SHARE if suspect is attempt.upstream else self._source_share
             self._attribution.attribute_and_eject_outlier(suspect, share, now)
-        # At the first check only: that it is overdue is a sign of congestion on its last link.
+        # An overdue attempt indicates congestion on its last link; it is counted once, at the first check.
         if context.size_known and lateness < self._check_interval:
             last = attempt.link_reservations[-1]
             last.link.observe(last.in_flight, context.transfer_time, now - attempt.sent_at, now)
         self.schedule(now + self._check_interval, attempt)
 
     def _silent_upstream(self, attempt: Attempt, lateness: int, now: int) -> Upstream | None:
-        """Return the upstream whose silence an overdue attempt shows; None if it shows none.
+        """Return the upstream that an overdue attempt shows to be silent, or None.
 
-        That is the cache if it has answered nothing since, and a second attempt there is overdue, too. Where
-        the cache answers others it is the fill source, at the first check, if nothing came from that since.
+        It is the cache if the cache has answered nothing since the attempt was sent and another attempt there
+        is overdue as well. If the cache does answer other attempts, it is the fill source, provided that the
+        fill source has not answered since; it is suspected at the first check only.
 
         Args:
             attempt: The overdue attempt.
-            lateness: Time since the end of its latency objective, ns.
+            lateness: Time since the end of the request's latency objective, ns.
             now: The present time, ns.
         """
         cache, source = attempt.upstream, attempt.fill_source
--- a/marbleglade/policy/upstream_health.py
+++ b/marbleglade/policy/upstream_health.py
@@ -1,15 +1,15 @@
-"""What this front observed of one upstream: its error rate and its circuit breaker."""
+"""The health of one upstream as observed by this front: error rate and circuit breaker."""
 
 from __future__ import annotations
 
 from ..model.attempt import Attempt
 from .link_model import LinkModel
 
-EJECTION_ERROR_RATE = 0.25  # error rate above which an upstream may be ejected: its circuit opens
-RECOVERY_ERROR_RATE = EJECTION_ERROR_RATE * 0.7  # after a successful half-open probe
-HEALTHY_ERROR_RATE = EJECTION_ERROR_RATE / 8  # below it the next ejection is a short one again
-ERROR_RATE_WEIGHT = 1 / 10  # of one result
-MAX_BACKOFF_FACTOR = 8  # the longest ejection time over the shortest
+EJECTION_ERROR_RATE = 0.25  # error rate above which an upstream may be ejected (its circuit opens)
+RECOVERY_ERROR_RATE = EJECTION_ERROR_RATE * 0.7  # error rate set after a successful half-open probe
+HEALTHY_ERROR_RATE = EJECTION_ERROR_RATE / 8  # error rate below which the backoff is reset
+ERROR_RATE_WEIGHT = 1 / 10  # weight of one result in the error rate
+MAX_BACKOFF_FACTOR = 8  # ratio of the longest to the shortest ejection time
 
 
 class UpstreamHealth:
@@ -17,47 +17,47 @@
 
     Args:
         now: The present time, ns.
-        started_at: Start of the upstream's process, ns; a later one makes this record void.
-        warmup_debt: Transfer time, ns, that must be earned before a cold upstream gets an attempt.
+        started_at: Start time of the upstream's process, ns; after a restart a new record replaces this one.
+        warmup_debt: Initial deficit of the warm-up budget, as transfer time in ns; see `SlowStart`.
         backoff: The shortest ejection time, ns.
-        link: The upstream's own link.
+        link: The model of the upstream's own link.
     """
 
     def __init__(self, now: int, started_at: int, warmup_debt: float, backoff: int, link: LinkModel) -> None:
         self.started_at = started_at
         self.link = link
-        self.in_flight: dict[Attempt, None] = {}  # attempts sent to it, oldest first
-        self.fills_in_flight: dict[Attempt, None] = {}  # attempts elsewhere that name it as fill source
-        self.fill_latency = 0.0  # ns that it adds to a response as fill source
+        self.in_flight: dict[Attempt, None] = {}  # attempts sent to this upstream, oldest first
+        self.fills_in_flight: dict[Attempt, None] = {}  # attempts with this upstream as fill source
+        self.fill_latency = 0.0  # time that a fill from this upstream adds to a response, ns
         self.last_response_at = now
-        self.contents_lost_at = now  # objects seen there before count as lost
+        self.contents_lost_at = now  # objects observed earlier are assumed lost
         self.error_rate = 0.0
-        self.circuit_open_until = 0  # afterwards half-open: one probe at a time; 0: the circuit is closed
+        self.circuit_open_until = 0  # then half-open (one probe at a time); 0 if closed
         self.half_open_probe: Attempt | None = None
-        self.probe_delegated_until = 0  # until then another front of the fleet probes it
-        self.suspected_until = 0  # until then many other fronts have ejected it
-        # When a half-open probe of this front last succeeded, ns. For `RECOVERED_OBJECTIVES` after it the
-        # fleet is told that the upstream recovered, and fronts that have ejected it may probe it at once. A
-        # new record begins as if that were one shortest ejection time ago: for the rest of that period an
-        # upstream that was listed or restarted just now is reported as recovered, though no probe was sent.
+        self.probe_delegated_until = 0  # until then another front probes this upstream
+        self.suspected_until = 0  # until then many other fronts report it as ejected
+        # Time of the last successful half-open probe by this front, ns. The recovery is reported to the fleet
+        # for `RECOVERY_REPORT_OBJECTIVES`, and fronts that have ejected the upstream may then probe it at
+        # once. A new record starts with a recovery one shortest ejection time ago. For the rest of the period
+        # a newly listed or restarted upstream is therefore reported as recovered without any probe.
         self.recovered_at = now - backoff
-        self.backoff = self.min_backoff = backoff  # next and shortest ejection time, ns
+        self.backoff = self.min_backoff = backoff  # duration of next and shortest ejection, ns
         self.warmup_budget = -warmup_debt  # transfer time, ns; see `SlowStart`
         self.warmup_budget_at = now
 
     @property
     def is_ejected(self) -> bool:
-        """True from an ejection until a half-open probe succeeds."""
+        """Whether the upstream is ejected, which lasts until a half-open probe succeeds."""
         return self.circuit_open_until != 0
 
     def is_usable(self, now: int) -> bool:
-        """Return whether an attempt may be sent there, if only as half-open probe."""
+        """Return whether an attempt may be sent to the upstream, either normally or as half-open probe."""
         if not self.is_ejected:
             return True
         return now >= max(self.circuit_open_until, self.probe_delegated_until) and not self.half_open_probe
 
     def record_result(self, failure: float, now: int) -> None:
-        """Take in a result: 0 for a success, else the share of a failure that is attributed to it."""
+        """Record a result: 0 for a success, else the share of a failure attributed to this upstream."""
         self.error_rate += (failure - self.error_rate) * ERROR_RATE_WEIGHT
         if failure:
             return
@@ -69,19 +69,19 @@
             self.backoff = self.min_backoff
 
     def open_circuit(self, now: int) -> None:
-        """Eject the upstream; each further ejection lasts twice as long."""
+        """Eject the upstream; the ejection time doubles each time, up to a limit."""
         self.circuit_open_until = now + self.backoff
         self.backoff = min(self.backoff * 2, self.min_backoff * MAX_BACKOFF_FACTOR)
         self.contents_lost_at = now
 
     def begin_attempt(self, attempt: Attempt, work: int, now: int) -> None:
-        """Charge an attempt that it takes part in, which is the probe if the circuit is half-open."""
+        """Charge an attempt to the warm-up budget; it becomes the probe if the circuit is half-open."""
         if self.is_ejected and now >= self.circuit_open_until:
             self.half_open_probe = attempt
         self.warmup_budget -= work
 
     def end_attempt(self, attempt: Attempt, inconclusive: bool, now: int) -> None:
-        """Forget an attempt; the next probe after an inconclusive one waits as long as after an ejection."""
+        """Remove an attempt; an inconclusive probe opens the circuit for the shortest ejection time."""
         self.in_flight.pop(attempt, None)
         self.fills_in_flight.pop(attempt, None)
         if self.half_open_probe is attempt:
--- a/marbleglade/policy_driver.py
+++ b/marbleglade/policy_driver.py
@@ -1,7 +1,7 @@
-"""Hosts a policy and turns its callbacks into blocking calls for the greenlets that handle requests.
+"""Drives a policy and turns its callbacks into blocking calls for the greenlets that handle requests.
 
-One greenlet at a time calls the policy, and the policy never calls back into itself: what it orders during a
-call is queued by `QueueingHost` and fetched by the greenlet that waits for it.
+Only one greenlet at a time calls the policy, and calls are never nested. `QueueingHost` queues the attempts
+and decisions that the policy orders during a call, and the greenlet that waits for them fetches them.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
 
 
 class PolicyDriver(QueueingHost):
-    """Runs the policy of one instance: its host, and its only caller.
+    """Runs the policy of one instance, as its host and its only caller.
 
     Args:
         parameters: The policy's parameters.
-        policy_factory: Makes the policy from its parameters and its host.
-        clock: Returns the time, ns.
-        max_open_requests: Number of open requests from which on none should be admitted; 0 for no bound.
-        counters: Where violated invariants are counted.
-        on_action: Takes the policy's actions, for the log.
+        policy_factory: Creates the policy from its parameters and its host.
+        clock: Returns the current time, ns.
+        max_open_requests: Limit of open requests, beyond which none should be admitted; 0 for no limit.
+        counters: Counters for violated invariants.
+        on_action: Called with each action of the policy, to log it.
         handling_delay: Returns the recent delay between an event and its handling, ns.
     """
 
@@ -56,7 +56,7 @@
         self.policy = policy_factory(parameters, self)
 
     def _call(self, method: Callable[..., None], *arguments: object) -> None:
-        """Call the policy; its clock stands still meanwhile."""
+        """Call a method of the policy; the time that the policy sees is constant during the call."""
         self.counters.check(not self.in_call, "policy_reentered")
         self.in_call = True
         self.call_time = self.clock()
@@ -65,19 +65,19 @@
         finally:
             self.in_call = False
 
-    # One request, from its submission to its end.
+    # Handling of one request, from submission to end.
 
     def submit(self, request: Request) -> Decision | None:
-        """Open a request and have the policy handle it; return its decision if it was made at once."""
+        """Open a request and pass it to the policy; return the decision if the policy decides at once."""
         open_request = self.open_requests.add(request)
         self._call(self.policy.handle_request, request)
         return cast(Decision, open_request.pending_steps.popleft()) if open_request.decided else None
 
     def next_step(self, request: Request) -> AttemptOrder | Decision:
-        """Block until the policy orders an attempt or decides, and return that."""
+        """Block until the policy orders an attempt or makes a decision, and return the order or decision."""
         open_request = self.open_requests.by_request.get(request)
         if open_request is None:
-            if request.finished:  # its client left before it was submitted
+            if request.finished:  # the client disconnected before submission
                 return Decision(RequestOutcome.CANCELLED)
             if decision := self.submit(request):
                 return decision
@@ -93,18 +93,18 @@
         open_request.step_waiter = Event()
         seconds_left = (open_request.request.deadline - self.clock()) / SECOND_NS
         if not wait_until_ready(open_request.step_waiter, seconds_left):
-            # The policy is at fault: it must decide before the deadline. The request has to end all the same.
+            # The policy must decide before the deadline. End the request in spite of this policy fault.
             self.counters.check(False, "undecided_at_deadline")
             self._end(open_request, Decision(RequestOutcome.FAILED))
         open_request.step_waiter = None
 
     def report_result(self, order: AttemptOrder, result: AttemptResult, not_modified: bool = False) -> None:
-        """Report how an attempt ended; the first successful one answers the request.
+        """Report the result of an attempt; the first successful attempt answers the request.
 
         Args:
-            order: The order of the attempt.
-            result: How it ended.
-            not_modified: It was answered without a body, since the client's own copy is current.
+            order: The order that started the attempt.
+            result: The result.
+            not_modified: Whether the answer has no body because the client's own copy is current.
         """
         attempt = order.attempt
         open_request = self.open_requests.by_request.get(attempt.request)
@@ -121,7 +121,7 @@
         self._call(self.policy.attempt_finished, attempt)
 
     def client_disconnected(self, request: Request) -> None:
-        """End a request whose client has left."""
+        """End a request whose client has disconnected."""
         open_request = self.open_requests.by_request.get(request)
         if open_request is None:
             request.finished = True
@@ -135,7 +135,7 @@
             self._end(open_request, Decision(RequestOutcome.CANCELLED))
 
     def client_half_closed(self, request: Request) -> None:
-        """Send no further attempt for a request whose client sends no more; those sent may answer it."""
+        """Stop new attempts for a request whose client half-closed; attempts already sent may answer it."""
         request.client_half_closed = True
         open_request = self.open_requests.by_request.get(request)
         if open_request is None or open_request.decided:
@@ -148,14 +148,14 @@
             self._call(self.policy.give_up, request)
 
     def reject_new(self, request: Request, reason: str) -> Decision:
-        """Open a request that can't be worked on, have the policy give it up, and return its decision."""
+        """Open a request that cannot be served, let the policy give it up, and return the decision."""
         open_request = self.open_requests.add(request)
         request.reason = reason
         self._call(self.policy.give_up, request)
         return cast(Decision, open_request.pending_steps.popleft())
 
     def forget(self, request: Request) -> None:
-        """Remove a request whose response was passed on, with attempts that an error left in flight."""
+        """Remove a request after its response; cancel attempts that an error left in flight."""
         open_request = self.open_requests.by_request.get(request)
         try:
             if open_request:
@@ -163,13 +163,13 @@
                     self.report_result(order, AttemptResult.CANCELLED)
         finally:
             self.open_requests.remove(request)
-            request.attempts = []  # breaks the reference cycle, so that memory is freed at once
+            request.attempts = []  # break the reference cycle so that memory is freed at once
 
     def give_up_all(self) -> None:
         """End all open requests at shutdown.
 
         Raises:
-            Exception: The first one that the policy raised, after all requests were ended.
+            Exception: The first exception that the policy raised, after all requests have been ended.
         """
         failures: list[Exception] = []
         for open_request in list(self.open_requests.by_request.values()):
@@ -180,7 +180,7 @@
             try:
                 self._call(self.policy.client_disconnected, request)
                 self._call(self.policy.give_up, request)
-            except Exception as error:  # one request must not keep the others open
+            except Exception as error:  # an error in one request must not keep the others open
                 failures.append(error)
                 if not open_request.decided:
                     self._end(open_request, Decision(RequestOutcome.FAILED))
@@ -188,47 +188,47 @@
             raise failures[0]
 
     def in_flight(self) -> Counter[Upstream]:
-        """Return the number of attempts in flight of open requests, by upstream."""
+        """Return the number of attempts in flight for open requests, by upstream."""
         return Counter(
             attempt.upstream
             for open_request in self.open_requests.by_request.values()
             for attempt in open_request.in_flight
         )
 
-    # Events that belong to no request.
+    # Events that do not belong to a request.
 
     def run_timers(self) -> int:
-        """Call the policy for all wakeups that are due; return the time of the next one, 0 for none."""
+        """Call the policy for each wakeup that is due; return the time of the next wakeup, ns, or 0."""
         while self.wakeups and self.wakeups[0] <= self.clock():
             heapq.heappop(self.wakeups)
             self._call(self.policy.on_timer)
         return self.wakeups[0] if self.wakeups else 0
 
     def update_endpoints(self, upstreams: list[Upstream], complete: bool) -> None:
-        """Pass changed upstreams on; `complete`: these are all there are."""
+        """Pass changed upstreams to the policy; `complete` marks a complete endpoint list."""
         self._call(self.policy.update_endpoints, upstreams, complete)
 
     def handle_purge(self, object_id: int, group: int, purged_at: int) -> None:
-        """Pass on a purge of an object or, if it is 0, of a group."""
+        """Pass a purge of an object or, if `object_id` is 0, of a group to the policy."""
         self._call(self.policy.handle_purge, object_id, group, purged_at)
 
     def limit_cache_age(self, max_age: int) -> None:
-        """Limit the age of every cached response, ns; 0 (`DEFAULT_MAX_AGE`) ends the limit."""
+        """Limit the age of all cached responses to `max_age` ns; 0 (`DEFAULT_MAX_AGE`) removes the limit."""
         self._call(self.policy.limit_cache_age, max_age)
 
     def observations(self) -> LoadObservations:
-        """Return what the policy observed so far."""
+        """Return the load observations of the policy."""
         return self.policy.observations()
 
     def apply_fleet_view(self, view: FleetView) -> None:
-        """Pass on what the other fronts observed."""
+        """Pass the observations of the other fronts to the policy."""
         self._call(self.policy.apply_fleet_view, view)
 
     def next_probe(self) -> Upstream:
-        """Block until the policy wants an upstream's load probed, and return that upstream."""
+        """Block until the policy requests a load probe, and return the upstream to probe."""
         upstream: Upstream = self.pending_probes.get()
         return upstream
 
     def record_load_report(self, upstream: Upstream, report: dict[str, float]) -> None:
-        """Store a load report of an upstream."""
+        """Store the load report of an upstream with the current time."""
         record_load_report(upstream, report, self.clock())
--- a/marbleglade/policy_host.py
+++ b/marbleglade/policy_host.py
@@ -1,4 +1,4 @@
-"""The host of a policy: queues what the policy orders until the request handler fetches it."""
+"""The host of a policy: queues its attempt orders and decisions until the request handler fetches them."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 class QueueingHost:
-    """Implements `model.policy_protocol.PolicyHost` by queues.
+    """Implements `model.policy_protocol.PolicyHost` with queues.
 
     Attributes:
-        open_requests: The open requests, each with the steps that the policy has decided for it.
-        pending_probes: Upstreams whose load is to be probed.
-        wakeups: A heap of the times at which the policy wants to be woken, ns.
-        in_call: The policy is being called.
-        call_time: When the present call began, ns.
+        open_requests: The open requests, each with its queue of pending steps (attempt orders and decisions).
+        pending_probes: Queue of upstreams to send a load probe to.
+        wakeups: A heap of the times at which the policy's timer is due, ns.
+        in_call: Whether a call of the policy is in progress.
+        call_time: The start time of the current call, ns.
 
     Args:
-        clock: Returns the time, ns.
-        max_open_requests: Number of open requests from which on none should be admitted; 0 for no bound.
-        counters: Where violated invariants are counted.
-        on_action: Takes the policy's actions, for the log.
+        clock: Returns the current time, ns.
+        max_open_requests: Limit of open requests, beyond which none should be admitted; 0 for no limit.
+        counters: Counters for violated invariants.
+        on_action: Called with each action of the policy, to log it.
         handling_delay: Returns the recent delay between an event and its handling, ns.
     """
 
@@ -55,7 +55,7 @@
         self.call_time = clock()
 
     def now(self) -> int:
-        """Return the time, ns; it stands still during a call of the policy."""
+        """Return the current time, ns; it is constant during a call of the policy."""
         return self.call_time if self.in_call else self.clock()
 
     def start_attempt(
@@ -71,7 +71,7 @@
         only_if_cached: bool = False,
         cache_locally: bool = False,
     ) -> Attempt:
-        """Order an attempt; see `PolicyHost.start_attempt`."""
+        """Queue the order for an attempt; see `PolicyHost.start_attempt`."""
         attempt = Attempt(
             request,
             upstream,
@@ -96,40 +96,40 @@
         return attempt
 
     def serve_cached(self, request: Request) -> None:
-        """Serve a request from the front's own cache."""
+        """Decide to serve a request from the front's local cache."""
         self._decide(request, Decision(RequestOutcome.SERVED, from_local_cache=True))
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Cancel an attempt, if it is in flight."""
+        """Cancel an attempt if it is in flight."""
         open_request = self.open_requests.by_request.get(attempt.request)
         order = open_request.in_flight.get(attempt) if open_request else None
         if order:
             order.cancel()
 
     def reject(self, request: Request, retry_after: int = 0) -> None:
-        """Reject a request, with a Retry-After in ns (0 for none)."""
+        """Decide to reject a request, with a Retry-After in ns (0 for none)."""
         self._decide(request, Decision(RequestOutcome.REJECTED, retry_after=retry_after))
 
     def fail(self, request: Request) -> None:
-        """Answer a request as failed."""
+        """Decide to fail a request."""
         self._decide(request, Decision(RequestOutcome.FAILED))
 
     def _decide(self, request: Request, decision: Decision) -> None:
         self._end(self.open_requests.by_request[request], decision)
 
     def schedule_wakeup(self, after: int) -> None:
-        """Call the policy's `on_timer` after that many nanoseconds."""
+        """Schedule a call of the policy's `on_timer` after `after` nanoseconds."""
         heapq.heappush(self.wakeups, self.now() + after)
 
     def poll_endpoints(self) -> None:
-        """Do nothing: discovery pushes changes of the endpoint list."""
+        """Do nothing, because the discovery service pushes changes of the endpoint list."""
 
     def probe_load(self, upstream: Upstream) -> None:
         """Queue an upstream for a load probe."""
         self.pending_probes.put(upstream)
 
     def record_action(self, action: PolicyAction) -> None:
-        """Pass an action of the policy on to the log."""
+        """Pass an action of the policy to the log."""
         self.on_action(action)
 
     def _end(self, open_request: OpenRequest, decision: Decision) -> None:
