--- a/tests/policy/conftest.py
+++ b/tests/policy/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the policy's tests."""
+"""Fixtures for the policy tests."""
 
 import pytest
 
@@ -7,5 +7,5 @@
 
 @pytest.fixture
 def create_harness():
-    """Return the class of the harness, which a test calls with the parameters that it changes."""
+    """Return the harness class; a test calls it with the policy parameters to override."""
     return PolicyHarness
--- a/tests/policy/policy_harness.py
+++ b/tests/policy/policy_harness.py
@@ -1,4 +1,4 @@
-"""A policy without sockets and clocks, for tests."""
+"""A policy with a stub host and a manual clock, for tests."""
 
 from marbleglade.model.attempt import AttemptResult, ResponseSource
 from marbleglade.model.request import DeduplicationScope, Idempotency, Request, RequestClass
@@ -9,7 +9,7 @@
 
 
 class PolicyHarness(StubPolicyHost):
-    """A policy with four caches, three parents and an origin; as its host it records what it is asked for."""
+    """A policy with four caches, three parents and an origin; it is also the host and records its calls."""
 
     def __init__(
         self, idempotency=Idempotency.IDEMPOTENT, deduplication_scope=DeduplicationScope.ALL, **changes
@@ -80,7 +80,7 @@
         self.recorded_actions.append(action)
 
     def request(self, object_id=1, size_kb=50.0, timeout_ms=2500, cached=None):
-        """Hand the policy a new request."""
+        """Pass a new request to the policy and return it."""
         request = Request(
             self.parameters.request_classes[0],
             object_id,
@@ -97,7 +97,7 @@
     def finish(
         self, attempt, result=AttemptResult.OK, after_ms=60, source=ResponseSource.NOTHING, not_modified=False
     ):
-        """End an attempt; return the last attempt that the policy has sent by then."""
+        """Report the result of an attempt `after_ms` later; return the last attempt that the policy sent."""
         self.clock += after_ms * NS_PER_MS
         attempt.not_modified = not_modified
         attempt.result = result
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""What is known of a request: its size and its repeated use."""
+"""Admission of requests: object sizes, cache priorities and local caching."""
 
 import pytest
 
@@ -15,7 +15,9 @@
 
 
 @pytest.mark.parametrize("not_modified, transfer_time", [(False, 20 * NS_PER_MS), (True, 400 * NS_PER_MS)])
-def test_a_response_without_body_shows_no_size(create_harness, not_modified, transfer_time):
+def test_a_response_without_body_does_not_update_the_transfer_time(
+    create_harness, not_modified, transfer_time
+):
     harness = create_harness()
     harness.finish(harness.request(5, size_kb=0).attempts[0], after_ms=400)
     second = harness.request(5, size_kb=0)
--- a/tests/policy/test_cache_age_after_purges.py
+++ b/tests/policy/test_cache_age_after_purges.py
@@ -1,4 +1,4 @@
-"""The age that purges allow."""
+"""The maximum age of cached responses after purges."""
 
 import pytest
 
@@ -28,7 +28,7 @@
 
 
 def test_a_purge_between_two_attempts_limits_the_second(create_harness):
-    """Found on a day with a purge of everything: the age was computed once, at admission."""
+    """The age was once computed only at admission, so a retry ignored a purge of all objects before it."""
     harness = create_harness()
     first = harness.request(5).attempts[0]
     harness.policy.handle_purge(5, 5, harness.clock)
@@ -40,7 +40,7 @@
     "purged, purged_ago, age", [(False, 0, 9000), (True, 5500, 5500), (True, 8000, 8000), (True, 9500, 9000)]
 )
 def test_a_stale_response_is_never_older_than_a_purge(create_harness, purged, purged_ago, age):
-    """While fills are slow the stale grace counts, but only up to the last purge."""
+    """While fills are slow the stale grace extends the age limit, but never beyond the last purge."""
     harness = create_harness(freshness_lifetime=5000 * NS_PER_MS)
     harness.parameters.request_classes[0].stale_grace = 4000 * NS_PER_MS
     if purged:
--- a/tests/policy/test_failure_attribution.py
+++ b/tests/policy/test_failure_attribution.py
@@ -11,13 +11,13 @@
 
 
 def ejected_upstreams(harness):
-    """Return the upstreams whose ejection the policy has recorded."""
+    """Return the upstreams for which the policy recorded an ejection."""
     assert {action.kind for action in harness.recorded_actions} <= {PolicyActionKind.EJECTED}
     return {action.upstream for action in harness.recorded_actions}
 
 
 def test_a_silent_cache_is_ejected_and_its_attempts_fail_over(create_harness):
-    """A cache accepts requests and answers none; the others answer all the while."""
+    """One cache accepts requests and answers none, while the other caches keep answering."""
     harness = create_harness()
     silent = harness.caches[2]
     for object_id in range(1, 400):
@@ -37,8 +37,8 @@
     assert ejection.log_fields() == {"action": "ejected", "upstream": "10.0.0.1:7000", "role": "parent"}
 
 
-def test_none_is_ejected_when_all_fail_alike(create_harness):
-    """A slow origin or a congested link shows at every upstream alike; an ejection only moves the load."""
+def test_no_upstream_is_ejected_if_all_fail_at_the_same_rate(create_harness):
+    """A slow origin or congested link affects all upstreams; an ejection would only move the load."""
     harness = create_harness()
     for object_id in range(1, 200):
         attempt = harness.request(object_id).attempts[0]
@@ -61,8 +61,8 @@
     assert ejected_upstreams(harness) == {faulty}
 
 
-def test_parents_that_fail_together_give_way_to_the_origin(create_harness):
-    """Found on a drawn day: each was the other's peer, so neither was ejected though no fill was served."""
+def test_parents_that_all_fail_are_ejected_and_the_origin_fills(create_harness):
+    """The parents were once each other's only peers, so none was ejected although every fill failed."""
     harness = create_harness(reports_cache_status=True, siblings_fill=False)
     for object_id in range(1, 600):
         attempt = harness.request(object_id).attempts[0]
@@ -78,8 +78,8 @@
     assert sum(each.fill_source is harness.origin for each in harness.attempts[-100:]) > 25
 
 
-def test_one_long_response_is_no_silence(create_harness):
-    """Found on a quiet day: a front with a few requests a second cancelled one attempt in five."""
+def test_one_long_response_does_not_count_as_silence(create_harness):
+    """With few requests per second a front once cancelled one in five attempts as if caches were silent."""
     harness = create_harness()
     attempt = harness.request(1).attempts[0]
     for _ in range(40):
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("size_known", [False, True])
-def test_a_missing_object_is_nobodys_fault_and_is_soon_given_up(create_harness, size_known):
+def test_errors_are_attributed_only_if_the_object_is_known_to_exist(create_harness, size_known):
     harness = create_harness()
     for object_id in range(1, 60):
         if size_known:
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("parents", [3, 1])
 def test_an_error_on_a_new_object_is_attributed_to_its_source_once_another_answers(create_harness, parents):
-    """Found on a short day: the one parent left failed nine fills in ten, of new objects, and stayed open."""
+    """The only remaining parent once failed nine in ten fills of new objects and was never ejected."""
     harness = create_harness(siblings_fill=False)
     for parent in harness.parents[parents:]:
         parent.state = UpstreamState.REMOVED
@@ -120,8 +120,8 @@
     assert ejected_upstreams(harness) == {faulty}
 
 
-def serve_despite(harness, faulty, object_id):
-    """Request a new object of unknown size until it is served; `faulty` errs on every attempt."""
+def request_until_served(harness, faulty, object_id):
+    """Request a new object of unknown size until it is served; the cache `faulty` fails every attempt."""
     request = harness.request(object_id, size_kb=0)
     while not request.finished:
         attempt = request.attempts[-1]
@@ -129,37 +129,39 @@
     return request
 
 
-def test_a_cache_that_errs_on_new_objects_is_avoided_and_ejected(create_harness):
-    """Found among processes: three attempts at the same cache, then no response, and no ejection."""
+def test_a_cache_that_fails_new_objects_is_avoided_and_ejected(create_harness):
+    """Found in a multi-process run: all three attempts went to the same faulty cache, which stayed in use."""
     harness = create_harness(siblings_fill=False)
     faulty = harness.caches[1]
     for object_id in range(1, 60):
-        assert len(serve_despite(harness, faulty, object_id).attempts) <= 3
-    assert harness.actions == []  # none was given up
+        assert len(request_until_served(harness, faulty, object_id).attempts) <= 3
+    assert harness.actions == []  # no request was rejected or failed
     assert ejected_upstreams(harness) == {faulty}
 
 
 def test_an_inconclusive_half_open_probe_is_followed_by_a_wait(create_harness):
-    """Found among processes: six to nine attempts at once reached a cache that should have got one probe."""
+    """Found in a multi-process run: a half-open cache got six to nine attempts at once, not one probe."""
     harness = create_harness(siblings_fill=False)
     faulty = harness.caches[1]
-    preferring_faulty = [n for n in range(1, 400) if rank_by_rendezvous(harness.caches, n, 0)[0] is faulty]
+    objects_preferring_faulty = [
+        n for n in range(1, 400) if rank_by_rendezvous(harness.caches, n, 0)[0] is faulty
+    ]
     health = faulty.health
     health.error_rate, health.circuit_open_until = 1.0, harness.clock
-    probe = harness.request(preferring_faulty[0], size_kb=0).attempts[0]
+    probe = harness.request(objects_preferring_faulty[0], size_kb=0).attempts[0]
     assert probe.upstream is faulty and health.half_open_probe is probe
-    harness.policy.retry_budget.tokens = 0  # no other attempt shows whose fault it was
+    harness.policy.retry_budget.tokens = 0  # without a retry the failure cannot be attributed
     harness.finish(probe, AttemptResult.ERROR, 5)
     ended_at = harness.clock
     while harness.clock < ended_at + health.min_backoff:
-        assert harness.request(preferring_faulty[1], size_kb=0).attempts[0].upstream is not faulty
+        assert harness.request(objects_preferring_faulty[1], size_kb=0).attempts[0].upstream is not faulty
         harness.clock += 50 * NS_PER_MS
-    assert harness.request(preferring_faulty[1], size_kb=0).attempts[0].upstream is faulty
+    assert harness.request(objects_preferring_faulty[1], size_kb=0).attempts[0].upstream is faulty
 
 
 @pytest.mark.parametrize("uncacheable", [False, True])
 def test_an_error_on_a_write_is_attributed_to_its_upstreams(create_harness, uncacheable):
-    """It is never retried, so no later result shows the cause; and the object need not exist before."""
+    """A write is never retried, so no later result shows the cause, and its object need not exist before."""
     harness = create_harness(idempotency=Idempotency.NON_IDEMPOTENT, siblings_fill=False)
     harness.parameters.request_classes[0].uncacheable = uncacheable
     for object_id in range(1, 100):
--- a/tests/policy/test_link_model.py
+++ b/tests/policy/test_link_model.py
@@ -1,4 +1,4 @@
-"""The congestion estimate of links."""
+"""Congestion estimates of links."""
 
 import pytest
 
@@ -7,14 +7,14 @@
 
 
 def test_a_link_recovers_after_a_few_long_waits(create_harness):
-    """Found in an incident: some timeouts kept links at a capacity of one long after the fault."""
+    """Found in an incident: a few timeouts kept the capacity estimate at one long after the fault ended."""
     link = create_harness().policy.links.fills
     for n in range(30):
         link.observe(8, 100 * NS_PER_MS, 800 * NS_PER_MS, START_NS + n * 40 * NS_PER_MS)
-    narrow = link.capacity
+    congested_capacity = link.capacity
     for n in range(60):
         link.observe(2, 100 * NS_PER_MS, 110 * NS_PER_MS, START_NS + (30 + n) * 40 * NS_PER_MS)
-    assert narrow < 3 and link.capacity > 2 * narrow
+    assert congested_capacity < 3 and link.capacity > 2 * congested_capacity
 
 
 def test_an_overdue_attempt_raises_the_slowdown_of_its_link_before_it_ends(create_harness):
@@ -27,11 +27,11 @@
 
 
 @pytest.mark.parametrize("loss_interval, congested", [(24, False), (3, True)])
-def test_one_lost_response_among_many_is_no_congestion(create_harness, loss_interval, congested):
+def test_only_frequent_lost_responses_count_as_congestion(create_harness, loss_interval, congested):
     harness, shed_fills = create_harness(), 0
     for start in range(0, 24 * 40, 24):
         attempts = []
-        for object_id in range(start, start + 24):  # new objects, whose sizes nobody knows
+        for object_id in range(start, start + 24):  # new objects of unknown size
             harness.only_if_cached = False
             attempts += harness.request(object_id, size_kb=0).attempts
             shed_fills += harness.only_if_cached
--- a/tests/policy/test_local_cache.py
+++ b/tests/policy/test_local_cache.py
@@ -1,4 +1,4 @@
-"""Responses from the front's own cache."""
+"""Responses from the front's local cache."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    "transfer_time, age, purged, served_locally",
+    "transfer_ms, age_ms, purged_ms, served_locally",
     [
         (50, 100, None, True),
         (50, 1900, None, True),
@@ -18,19 +18,19 @@
     ],
 )
 def test_a_cached_response_is_served_if_fresh_enough_and_in_time(
-    create_harness, transfer_time, age, purged, served_locally
+    create_harness, transfer_ms, age_ms, purged_ms, served_locally
 ):
     harness = create_harness(freshness_lifetime=2000 * NS_PER_MS, local_link_capacity=4.0)
-    if purged:
-        harness.policy.handle_purge(5, 0, harness.clock - purged * NS_PER_MS)
+    if purged_ms:
+        harness.policy.handle_purge(5, 0, harness.clock - purged_ms * NS_PER_MS)
     request = harness.request(
-        5, cached=CachedResponse(transfer_time * NS_PER_MS, harness.clock - age * NS_PER_MS)
+        5, cached=CachedResponse(transfer_ms * NS_PER_MS, harness.clock - age_ms * NS_PER_MS)
     )
     assert (harness.actions == [("serve_cached", request)]) is served_locally
     assert len(request.attempts) == (not served_locally)
 
 
-def test_requests_over_the_capacity_of_the_fronts_own_link_are_sent_to_caches(create_harness):
+def test_requests_over_the_capacity_of_the_fronts_local_link_are_sent_to_caches(create_harness):
     harness = create_harness(local_link_capacity=4.0)
     served_locally = [
         not harness.request(
--- a/tests/policy/test_rejection_reasons.py
+++ b/tests/policy/test_rejection_reasons.py
@@ -1,4 +1,4 @@
-"""The reason that is logged for a request that is given up names the cause."""
+"""The logged reason of a rejected or failed request states the cause."""
 
 import pytest
 
@@ -36,7 +36,7 @@
         (AttemptResult.RESET, {"after_ms": 2499}, NoRetryReason.DEADLINE),
     ],
 )
-def test_a_failed_attempt_without_retry_has_its_cause_as_reason(create_harness, result, change, reason):
+def test_the_reason_states_why_a_failed_attempt_is_not_retried(create_harness, result, change, reason):
     harness = create_harness(max_attempts=change.get("max_attempts", 3))
     request = harness.request()
     harness.policy.retry_budget.tokens = change.get("tokens", 12.0)
@@ -54,7 +54,7 @@
         (True, False, True, NoParentReason.TOO_SLOW),
     ],
 )
-def test_without_a_cache_the_reason_names_why_no_parent_serves(
+def test_without_a_cache_the_reason_states_why_no_parent_serves(
     create_harness, direct, parents_drain, parents_congested, reason
 ):
     harness = create_harness(parents_serve_directly=direct, fleet_size=16)
@@ -67,7 +67,7 @@
     assert request.reason == routing_reason(NoCacheReason.NONE_ACTIVE, reason)
 
 
-def test_where_a_repeat_is_safe_nowhere_the_reason_says_so(create_harness):
+def test_the_reason_states_that_a_repeat_is_unsafe_at_every_upstream(create_harness):
     harness = create_harness(
         Idempotency.IDEMPOTENT_BY_KEY, DeduplicationScope.ALL, parents_serve_directly=True
     )
@@ -80,7 +80,7 @@
     "congestion, reason",
     [(0.5, NoCacheReason.CACHE_LINK_CONGESTED), (2.0, NoCacheReason.ZONE_LINK_NOT_FREE)],
 )
-def test_with_congested_caches_the_reason_tells_whether_the_zone_has_capacity(
+def test_with_congested_caches_the_reason_states_whether_the_zone_has_capacity(
     create_harness, congestion, reason
 ):
     harness = create_harness(fleet_size=16)
@@ -90,7 +90,7 @@
     assert request.reason == routing_reason(reason, NoParentReason.NOT_ALLOWED)
 
 
-def test_a_retry_that_would_wait_for_congested_fills_has_that_as_reason(create_harness):
+def test_the_reason_states_that_fills_are_too_congested_for_a_retry(create_harness):
     harness = create_harness(fleet_size=16)
     request = harness.request(5)
     harness.policy.links.fills.capacity, harness.policy.links.fills.in_flight = 1.0, 500
--- a/tests/policy/test_retry.py
+++ b/tests/policy/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries: safety, budget and where they go."""
+"""Retries: safety, budget and choice of upstream."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    "repeat, group, result, after_ms, retried, response",
+    "idempotency, scope, result, after_ms, retried, response",
     [
         (Idempotency.IDEMPOTENT, DeduplicationScope.ALL, MAY_HAVE_RUN, 60, True, None),
         (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, MAY_HAVE_RUN, 60, False, "fail"),
@@ -24,11 +24,11 @@
         (Idempotency.IDEMPOTENT_BY_KEY, DeduplicationScope.CELL, NEVER_RAN, 60, True, None),
     ],
 )
-def test_no_retry_runs_an_effect_twice(create_harness, repeat, group, result, after_ms, retried, response):
-    harness = create_harness(repeat, group)
+def test_no_retry_repeats_an_effect(create_harness, idempotency, scope, result, after_ms, retried, response):
+    harness = create_harness(idempotency, scope)
     request = harness.request(4, timeout_ms=4000)
     first = request.attempts[0]
-    if group is DeduplicationScope.CELL and result is MAY_HAVE_RUN:
+    if scope is DeduplicationScope.CELL and result is MAY_HAVE_RUN:
         first.upstream.state = UpstreamState.DRAINING
         harness.policy.update_endpoints([first.upstream], False)
     harness.finish(first, result, after_ms)
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -1,4 +1,4 @@
-"""Which cache a request goes to."""
+"""Selection of the cache for a request."""
 
 from collections import Counter
 
@@ -10,7 +10,7 @@
 
 
 def preferred_upstreams(create_harness, object_id):
-    """Return the cache and the parent that a front without faults selects."""
+    """Return the names of the cache and parent that a new front selects for an object."""
     attempt = create_harness().request(object_id).attempts[0]
     return attempt.upstream.name, attempt.fill_source.name
 
@@ -62,10 +62,10 @@
 
 
 @pytest.mark.parametrize("fleet_size, accepted", [(1, True), (16, False)])
-def test_congestion_caused_by_other_fronts_is_seen_by_the_slowdown_of_a_link(
+def test_congestion_caused_by_other_fronts_is_detected_from_the_slowdown_of_a_link(
     create_harness, fleet_size, accepted
 ):
-    """Found in two incidents: a front's own count says nothing where sixteen share the caches."""
+    """Found in two incidents: with 16 fronts, one front's transfers do not show congestion of the caches."""
     harness = create_harness(fleet_size=fleet_size, reports_cache_status=True)
     for attempt in [harness.request(object_id, 300.0).attempts[0] for object_id in (1, 2, 3)]:
         harness.finish(attempt, after_ms=500, source=ResponseSource.HIT)
@@ -78,7 +78,7 @@
 def test_while_fills_are_congested_the_reported_link_decides_whether_a_parent_fills(
     create_harness, congestion, role
 ):
-    """A slow origin leaves capacity on the zone's link; then parents serve what they hold."""
+    """A slow origin leaves capacity on the zone's link, which parents can use for objects that they hold."""
     harness = create_harness(load_probes_allowed=congestion is not None)
     harness.policy.on_timer()
     assert [action for action, _ in harness.actions] == ["probe"] * (congestion is not None)
@@ -97,10 +97,10 @@
         (False, 0.5, False, None),
     ],
 )
-def test_a_zone_link_with_free_capacity_is_the_way_past_congested_caches(
+def test_a_parent_serves_if_caches_are_congested_and_the_zone_link_has_capacity(
     create_harness, direct, congestion, fills_slow, role
 ):
-    """Found on a day with a mass restart: survivors were overloaded while the zone's link was idle."""
+    """Found in a mass restart: the remaining caches were overloaded while the zone's link was idle."""
     harness = create_harness(parents_serve_directly=direct, fleet_size=16)
     harness.caches[0].congestion, harness.caches[0].reported_at = congestion, harness.clock
     for cache in harness.caches:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -27,8 +27,8 @@
     assert shares[0] < shares[1] <= shares[2] and shares[0] < 0.1 and shares[2] > 0.15
 
 
-def test_fronts_that_learn_of_a_start_together_do_not_all_send_at_once(create_harness):
-    """With hundreds of fronts one attempt of each would spend the warm-up budget of a cold upstream."""
+def test_fronts_do_not_all_send_to_a_newly_started_cache_at_once(create_harness):
+    """With hundreds of fronts, one attempt from each would exhaust the warm-up budget of a cold upstream."""
     first, later = 0, 0
     for seed in range(40):
         harness = create_harness(seed=seed, siblings_fill=False)
@@ -56,8 +56,8 @@
     assert cache.health.is_usable(harness.clock) and cache.health.warmup_budget < 0
 
 
-def test_the_first_caches_to_restart_do_not_get_the_traffic_of_all(create_harness):
-    """Found by a search: most caches of a zone died, and the first few to restart got all the traffic."""
+def test_the_first_caches_to_restart_do_not_receive_all_traffic_of_the_zone(create_harness):
+    """Found by a search: most caches of a zone failed, and the first to restart received all the traffic."""
     shares = []
     for removed in (0, 3):
         harness = create_harness(siblings_fill=False)
--- a/tests/scripted_policy.py
+++ b/tests/scripted_policy.py
@@ -1,4 +1,4 @@
-"""A policy that does what a test says, and requests for it."""
+"""A scripted policy for tests of the driver, and requests for it."""
 
 from marbleglade.model.request import Request, RequestClass
 from marbleglade.model.upstream import Upstream
@@ -6,11 +6,11 @@
 
 
 class ScriptedPolicy:
-    """A policy that does what the test says, and records the calls of its driver."""
+    """A policy whose decisions a test sets; it records the calls of its driver."""
 
     def __init__(self, driver):
         self.driver, self.calls = driver, []
-        self.on_request, self.on_failure = None, None  # what it does then, with the request
+        self.on_request, self.on_failure = None, None  # called with the request, to decide on it
         self.cache = Upstream(b"c")
 
     def start_attempt(self, request):
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -1,4 +1,4 @@
-"""The driver hosts a scripted policy, and turns its callbacks into blocking calls."""
+"""The policy driver turns the callbacks of a scripted policy into blocking calls."""
 
 import gevent
 import pytest
@@ -62,7 +62,7 @@
     assert (decision.outcome, decision.from_local_cache) == (RequestOutcome.SERVED, True)
 
 
-def test_attempts_that_an_error_left_open_are_cancelled_and_forgotten(hosted_policy):
+def test_attempts_that_an_error_left_in_flight_are_cancelled_and_removed(hosted_policy):
     driver, policy, clock = hosted_policy
     request = new_request(clock)
     order = driver.next_step(request)
@@ -91,7 +91,7 @@
     gevent.sleep(0)
     driver.cancel_attempt(order.attempt)
     assert waiter.get(timeout=1) is None
-    assert policy.calls == ["handle_request"]  # it learns the result by the report, not within its own call
+    assert policy.calls == ["handle_request"]  # the result is passed on when it is reported
     driver.report_result(order, AttemptResult.CANCELLED)
     assert policy.calls == ["handle_request", AttemptResult.CANCELLED]
 
@@ -147,7 +147,7 @@
     assert driver.run_timers() == clock[0] + 10 * NS_PER_MS and policy.calls == ["on_timer"]
 
 
-def test_a_call_of_the_policy_from_within_a_call_is_detected(hosted_policy):
+def test_a_nested_call_of_the_policy_is_detected(hosted_policy):
     driver, policy, clock = hosted_policy
     policy.on_request = lambda request: driver._call(policy.client_disconnected, request)
     with pytest.raises(AssertionError, match="policy_reentered"):
