--- a/marbleglade/policy/failure_attribution.py
+++ b/marbleglade/policy/failure_attribution.py
@@ -19,8 +19,7 @@
 PEER_ERROR_RATE_FACTOR = 1.5
 SILENCE_OBJECTIVES = 8  # time without a response after which a parent is silent, in latency objectives
 FULL_SHARE = 1  # share of a failure that is attributed to one upstream alone
-# Added to the error rate of each suspect, so that a suspect without earlier failures is attributed a share as
-# well.
+# Added to the error rate of each suspect, so that a suspect without earlier failures gets a share as well.
 PRIOR_ERROR_RATE = EJECTION_ERROR_RATE / 8
 
 
@@ -113,5 +112,5 @@
         )
         origin = self._upstreams.origin
         if (silent or not rates) and upstream.role is UpstreamRole.PARENT and origin:
-            return [origin.health.error_rate]  # no other parent in use, or this one is silent
+            return [origin.health.error_rate]  # this is the only parent in use, or it is silent
         return rates
--- a/marbleglade/policy/request_context.py
+++ b/marbleglade/policy/request_context.py
@@ -16,7 +16,7 @@
     history: ObjectHistory
     transfer_time: int  # ns at full throughput; an estimate unless `size_known` is True
     size_known: bool
-    is_new_object: bool  # whether this front has no earlier request for the object on record
+    is_new_object: bool  # whether this front has no earlier request for this part on record
     objective_at: int = 0  # time at which the latency objective ends, ns
     cache_priority: int = 1
     response_started: bool = False
--- a/marbleglade/policy/slow_start.py
+++ b/marbleglade/policy/slow_start.py
@@ -12,7 +12,7 @@
 from .load_estimate import LoadEstimate
 from .rendezvous import rendezvous_score
 
-KEY_RANGE_PART = -1  # hashed in place of the part to select a key range
+KEY_RANGE_PART = -1  # hashed in place of the part, so that a key range contains whole objects
 # Share of a cold upstream's capacity that is used; the rest is left for retries and random variation.
 PLANNED_LOAD_SHARE = 1 / 2
 # Maximum unused budget, as a share of the averaging window of the load (`Parameters.overload_window`).
--- a/marbleglade/policy/timers.py
+++ b/marbleglade/policy/timers.py
@@ -18,7 +18,7 @@
 
 OVERDUE_CHECKS_PER_OBJECTIVE = 2  # checks of an overdue attempt within the shortest latency objective
 # Number of overdue attempts, with no response in between, after which a cache counts as silent. A single
-# overdue attempt may only have a slow response.
+# overdue attempt may simply have a long response.
 MIN_OVERDUE_ATTEMPTS = 2
 # Share of a failure that is attributed to a fill source that has not answered. The second value applies where
 # responses do not report whether the source filled anything.
