--- a/marbleglade/model/__init__.py
+++ b/marbleglade/model/__init__.py
@@ -1,4 +1,4 @@
-"""The types that a policy and the front that hosts it share.
+"""The types shared by a policy and the front that hosts it.
 
-Times are integers in nanoseconds of one monotonic clock; an absent time or figure is 0.
+Times are integers in nanoseconds of one monotonic clock. A time or number that is not known or not set is 0.
 """
--- a/marbleglade/model/attempt.py
+++ b/marbleglade/model/attempt.py
@@ -1,4 +1,4 @@
-"""Attempts: one try of a request at one upstream, and its result."""
+"""Attempts: each sends a request to one upstream once and has one result."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 
     OK = 0
     ERROR = 1
-    REJECTED = 2  # the upstream shed it as overloaded
+    REJECTED = 2  # the upstream rejected it because of overload
     TIMEOUT = 3
     CONNECT_FAILED = 4
     RESET = 5  # the connection broke after the attempt was sent
     CANCELLED = 6
-    NOT_STARTED = 7  # cancelled or dropped before the upstream began to work on it
-    MISS = 8  # the upstream does not hold the object and was not to fetch it, or the origin has none
+    NOT_STARTED = 7  # cancelled or dropped before the upstream started to process it
+    MISS = 8  # the upstream does not hold the object and must not fetch it, or the origin does not have it
 
 
-# Results that prove that the upstream never ran the request.
+# Results which prove that the upstream never processed the request.
 NEVER_RUN_RESULTS = frozenset(
     (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_STARTED, AttemptResult.MISS)
 )
 
 
 class ResponseSource(Enum):
-    """Where a response came from, or why a fill failed, as far as the upstream reports it."""
+    """Where a response came from, or why a fill failed, as reported by the upstream."""
 
     NOTHING = 0  # not reported
     HIT = 1
@@ -51,23 +51,23 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One try of a request at one upstream.
+    """One attempt to get the response to a request from one upstream.
 
     Attributes:
-        request: The request it belongs to.
-        upstream: Where it is sent.
-        fill_source: Where the upstream fetches the object on a miss; the upstream itself for no fill.
-        sent_at: When the policy ordered it, ns.
-        timeout: How long it may take, ns.
-        cache_priority: How readily the upstream should keep the object; higher is more.
-        result: How it ended; None while it is in flight.
-        response_source: Where the response came from.
-        latency: Time until its end, ns.
-        queueing_time: The part of it that the upstream reports as waiting, ns; 0 if it reports none.
-        not_modified: Answered without a body, since the client's own copy is current.
-        not_written: It ended before any byte of it was sent.
-        link_reservations: The links that the policy counts it on: the upstream's own first, then those of an
-            expected fill, the one nearest to the origin last.
+        request: The request that the attempt belongs to.
+        upstream: The upstream that the attempt is sent to.
+        fill_source: The source that the upstream fills a miss from; the upstream itself for no fill.
+        sent_at: The time at which the policy ordered the attempt, ns.
+        timeout: The longest time that the attempt may take, ns.
+        cache_priority: Priority of the object in the upstream's cache; the highest is evicted last.
+        result: The result; None while the attempt is in flight.
+        response_source: The source of the response, as reported by the upstream.
+        latency: Time from the start of the attempt to its end, ns.
+        queueing_time: The part of `latency` that the upstream reports as queueing, ns; 0 if not reported.
+        not_modified: The response has no body, because the client's own copy is current.
+        not_written: The attempt ended before any byte of it was sent.
+        link_reservations: The links on which the policy counts the attempt: first the upstream's own link,
+            then the links of an expected fill in order, towards the origin.
     """
 
     request: Request
@@ -86,10 +86,10 @@
 
     @property
     def expects_fill(self) -> bool:
-        """True if the policy expected that the upstream does not hold the object, and has it filled."""
+        """True if the policy expects the upstream to miss and to fill the object from `fill_source`."""
         return len(self.link_reservations) > 1
 
     @property
     def may_have_run(self) -> bool:
-        """True unless it is certain that the upstream never ran it."""
+        """True unless it is certain that the upstream never processed the attempt."""
         return self.result not in NEVER_RUN_RESULTS and not self.not_written
--- a/marbleglade/model/fleet_view.py
+++ b/marbleglade/model/fleet_view.py
@@ -1,21 +1,21 @@
-"""What one front observed of its load and upstreams, and what the whole fleet reports back to it."""
+"""Load and upstream observations of one front, and the aggregate over the fleet that it receives."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# The numbers of links, as fronts exchange what they observed of them.
-ORIGIN_FETCHES_LINK = 0  # the origin's, for objects that no cache is likely to hold
-FILLS_LINK = 1  # that of other fills
-FIRST_ZONE_LINK = 2  # plus the number of a zone: those of the zone's caches together
+# The link numbers that fronts use when they exchange observations of links.
+ORIGIN_FETCHES_LINK = 0  # the link to the origin, for objects that are probably in no cache
+FILLS_LINK = 1  # the link for all other fills
+FIRST_ZONE_LINK = 2  # plus the zone number: the links of all caches of that zone together
 
 
 class LinkUsage(NamedTuple):
-    """The transfers of one front on a link since its start.
+    """The transfers of one front on a link since the front started.
 
     Attributes:
-        transfer_time: What they would have taken at full throughput, ns.
-        duration: What they took, ns.
+        transfer_time: The total time that the transfers need at full throughput, ns.
+        duration: The total time that the transfers took, ns.
     """
 
     transfer_time: int
@@ -23,11 +23,11 @@
 
 
 class LinkSlowdown(NamedTuple):
-    """How slow the fleet found a link lately.
+    """How slow a link was recently, over all fronts.
 
     Attributes:
-        slowdown: The time that transfers took over that at full throughput, 1 or more.
-        transfer_time: The evidence: what those transfers would have taken at full throughput, ns.
+        slowdown: The ratio of the time that transfers took to the time at full throughput; at least 1.
+        transfer_time: The time that those transfers need at full throughput, as weight of the evidence, ns.
     """
 
     slowdown: float
@@ -35,16 +35,16 @@
 
 
 class LoadObservations(NamedTuple):
-    """What the policy of one front observed; all counts are cumulative.
+    """The observations of one front's policy; all counts are cumulative.
 
     Attributes:
-        requested_work: Transfer time of all requests, ns.
-        first_requests: Number of requests that are no retries of clients.
-        retry_cost: Cost of all retries; the cheap ones count less than 1 each.
+        requested_work: Total transfer time of all requests, ns.
+        first_requests: Number of requests without the retries of clients.
+        retry_cost: Total cost of all retries in tokens; a cheap retry costs less than 1.
         rejected: Number of rejected requests.
-        links: The transfers on each link, by its number (`ORIGIN_FETCHES_LINK` and the others).
-        open_circuits: Upstreams whose circuit is open, by `name_hash`.
-        recovered: Upstreams whose half-open probe succeeded, by `name_hash`.
+        links: The transfers on each link, by link number (`ORIGIN_FETCHES_LINK` and the other constants).
+        open_circuits: The `name_hash` of each upstream whose circuit is open.
+        recovered: The `name_hash` of each upstream whose half-open probe succeeded.
     """
 
     requested_work: int
@@ -59,19 +59,20 @@
 class FleetView(NamedTuple):
     """The aggregated observations of all fronts, as this front last received them.
 
-    It moves decisions within bounds only: it never closes a circuit that this front has opened.
+    It can change the decisions of this front only within bounds. In particular, it never closes a circuit
+    that this front has opened.
 
     Attributes:
-        valid_until: When it expires, ns; after that the front's own observations count alone.
+        valid_until: The expiry time of the view, ns; after it, only the front's own observations count.
         traffic_share: This front's share of the fleet's load, 0 to 1.
         retry_budget_factor: Factor on the front's own retry budget.
-        link_slowdowns: By the link's number.
-        suspected: Upstreams, by `name_hash`, with the number of fronts that have ejected them.
-        assigned_probes: The suspected upstreams that this front has to probe.
-        recovered: Upstreams whose half-open probe succeeded at some front.
-        is_load_prober: This front probes the load of its zone for all fronts there.
+        link_slowdowns: The recent slowdown of each link, by link number.
+        suspected: The number of fronts that have ejected an upstream, by its `name_hash`.
+        assigned_probes: The `name_hash` of each suspected upstream that this front has to probe.
+        recovered: The `name_hash` of each upstream whose half-open probe succeeded at any front.
+        is_load_prober: True if this front probes the load of its zone for all fronts of the zone.
         retry_burst_factor: Factor on the burst of the retry budget.
-        shed_ratio: Requests rejected lately for each one that was not.
+        shed_ratio: The recent ratio of rejected requests to other requests.
     """
 
     valid_until: int
--- a/marbleglade/model/peer_update.py
+++ b/marbleglade/model/peer_update.py
@@ -1,4 +1,4 @@
-"""What fronts pass on to each other: upstreams that leave, and purges."""
+"""The updates that fronts exchange with each other: upstreams that are leaving, and purges."""
 
 from __future__ import annotations
 
@@ -9,9 +9,12 @@
 
 @dataclass(slots=True)
 class UpstreamLeaving:
-    """An upstream that leaves, by its id and the start of its process in Unix milliseconds.
+    """An upstream that is leaving.
 
-    `index` is the number of the discovery event that said so; 0 if it is not known.
+    Attributes:
+        index: Number of the discovery event that reported this; 0 if not known.
+        id: Id of the upstream.
+        started_ms: Start of the process that is leaving, Unix milliseconds.
     """
 
     index: int
--- a/marbleglade/model/policy_action.py
+++ b/marbleglade/model/policy_action.py
@@ -1,4 +1,4 @@
-"""Actions of a policy that concern an upstream and no single request, for the log."""
+"""Actions of a policy that affect an upstream rather than a single request, for the log."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class PolicyActionKind(Enum):
-    """The kinds of actions; the values are those of the log."""
+    """The kinds of actions; the values are written to the log."""
 
     EJECTED = "ejected"
 
 
 class PolicyAction(NamedTuple):
-    """One action of the policy.
+    """One action of the policy on an upstream.
 
     Attributes:
-        kind: What it has done.
-        upstream: The upstream that it concerns.
+        kind: The kind of the action.
+        upstream: The upstream that the action affects.
     """
 
     kind: PolicyActionKind
--- a/marbleglade/model/request.py
+++ b/marbleglade/model/request.py
@@ -1,4 +1,4 @@
-"""Requests of clients, and the classes that they belong to."""
+"""Client requests and request classes."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class Idempotency(Enum):
-    """Whether running a request twice does harm."""
+    """Whether it is safe to process a request twice."""
 
     IDEMPOTENT = 0
-    IDEMPOTENT_BY_KEY = 1  # none within the deduplication window and scope
+    IDEMPOTENT_BY_KEY = 1  # safe within the deduplication window and scope
     NON_IDEMPOTENT = 2
 
 
 class DeduplicationScope(Enum):
-    """Which caches recognise repeats of a request by its idempotency key."""
+    """Which caches detect a repeated request by its idempotency key."""
 
     ALL = 0
     ZONE = 1
@@ -30,20 +30,20 @@
 
 @dataclass(slots=True, eq=False)
 class RequestClass:
-    """One class of requests; times in nanoseconds, 0 for "not set".
+    """One class of requests. Times are in nanoseconds; 0 means "not set".
 
     Attributes:
-        latency_objective: Time within which a response counts as in time.
-        objective_stretch: Extra time per unit of size, as a factor on the transfer time.
-        client_timeout: How long clients wait.
-        idempotency: Whether a retry may do harm.
-        deduplication_scope: Where repeats are recognised.
-        deduplication_window: For how long repeats are recognised.
+        latency_objective: Time within which a response is in time.
+        objective_stretch: Extra time for large objects, as a factor on the transfer time.
+        client_timeout: Time for which clients wait for a response.
+        idempotency: Whether it is safe to process a request twice.
+        deduplication_scope: The caches that detect a repeated request.
+        deduplication_window: Time for which they detect it.
         freshness_lifetime: Age up to which a cached response is fresh.
-        stale_grace: Age beyond that up to which it may be served when nothing better is available.
-        uncacheable: Responses are never cached.
-        priority_weight: Value of one response in time.
-        mean_transfer_time: The policy's running mean of transfer times, ns; None before the first request.
+        stale_grace: Time after `freshness_lifetime` during which it may be served while fills are slow.
+        uncacheable: Whether responses must never be cached.
+        priority_weight: Value of one response that is in time.
+        mean_transfer_time: The policy's running mean of transfer times; None before the first request.
     """
 
     latency_objective: int
@@ -60,7 +60,7 @@
 
     @property
     def safe_to_retry(self) -> bool:
-        """True if a repeat does no harm at any cache."""
+        """True if the request can be repeated safely at any cache."""
         return self.idempotency is Idempotency.IDEMPOTENT or (
             self.idempotency is Idempotency.IDEMPOTENT_BY_KEY
             and self.deduplication_scope is DeduplicationScope.ALL
@@ -72,9 +72,9 @@
     """A response from the front's own cache.
 
     Attributes:
-        transfer_time: Time to send it at full throughput, ns.
-        issued_at: When the origin issued it, ns.
-        response: What its client gets; None in tests of the policy, which does not read it.
+        transfer_time: Time to send the response at full throughput, ns.
+        issued_at: The time at which the origin issued the response, ns.
+        response: The response to send; None in tests of the policy, which does not read it.
     """
 
     transfer_time: int
@@ -87,20 +87,20 @@
     """One request of a client.
 
     Attributes:
-        request_class: The class it belongs to.
-        object_id: The object asked for.
-        part: The part of it.
+        request_class: The class of the request.
+        object_id: The requested object.
+        part: The requested part of the object.
         group: The purge group of the object.
         size_kb: Size of the response, kB; 0 if not known.
-        received_at: When it arrived, ns.
-        deadline: When its client stops waiting, ns.
-        is_client_retry: The client has sent it before.
-        attempts: Its attempts, in the order in which they were sent.
-        finished: Its outcome is decided.
-        client_half_closed: Its client sends no more: no further attempt is sent for it.
-        cached: The response from the front's own cache, if there is one.
-        context: What the policy notes on it; not set until the policy handles it.
-        reason: Why it was rejected or given up, for the log.
+        received_at: The time at which the request arrived, ns.
+        deadline: The time at which the client stops waiting, ns.
+        is_client_retry: Whether the client has sent the request before.
+        attempts: The attempts for the request, in the order in which they were sent.
+        finished: Whether the outcome of the request is decided.
+        client_half_closed: Whether the client closed its sending side; if so, no further attempt is sent.
+        cached: The response from the front's own cache; None if there is none.
+        context: The policy's state of the request; not set until the policy handles the request.
+        reason: The reason why the request was rejected or failed, for the log.
     """
 
     request_class: RequestClass
@@ -119,9 +119,10 @@
     reason: str = ""
 
     def may_send_attempt(self, now: int, attempt: Attempt | None = None) -> bool:
-        """Return whether `attempt`, or a new one, may be sent at that time.
+        """Return whether `attempt`, or a new one, may be sent at the time `now`.
 
-        It may not once another attempt may have run and a repeat does harm, or is not recognised any more.
+        If another attempt may have been processed, a repeat is allowed only for an idempotent request, or
+        within the deduplication window of a request with an idempotency key.
         """
         earlier = (other for other in self.attempts if other.may_have_run and other is not attempt)
         first = next(earlier, None)
--- a/marbleglade/model/upstream.py
+++ b/marbleglade/model/upstream.py
@@ -1,4 +1,4 @@
-"""Upstreams: the caches, parents and the origin that the endpoint list names."""
+"""Upstreams: the caches, the parents and the origin in the endpoint list."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class UpstreamRole(Enum):
-    """What an upstream is for."""
+    """The role of an upstream."""
 
     CACHE = 0
     PARENT = 1
@@ -23,7 +23,7 @@
     """Whether an upstream may be used."""
 
     ACTIVE = 0
-    DRAINING = 1  # finishes what it has, gets nothing new
+    DRAINING = 1  # finishes its requests in flight, but gets no new ones
     REMOVED = 2
 
 
@@ -32,15 +32,15 @@
     """A cache, a parent or the origin.
 
     Attributes:
-        name: Its name, the same at every front.
-        role: What it is for.
+        name: The name of the upstream, the same at every front.
+        role: The role of the upstream.
         zone: Number of its zone.
         cell: Number of its cell.
-        started_at: When it started, ns; 0 for long ago.
-        state: Whether it may be used.
-        congestion: Reported transfers on its zone's link, over those that fit at full throughput.
-        reported_at: When that was reported, ns; 0 if never.
-        health: What the policy observed of it; None until the policy has it in its list.
+        started_at: The time at which its process started, ns; 0 for long ago or not known.
+        state: Whether the upstream may be used.
+        congestion: The last reported ratio of transfers on its zone's link to the capacity of that link.
+        reported_at: The time at which `congestion` was reported, ns; 0 if never.
+        health: The policy's health data of it; None until the upstream is passed to the policy.
     """
 
     name: bytes
@@ -55,5 +55,5 @@
 
 
 def name_hash(name: bytes) -> int:
-    """Return the short form of an upstream's name that fronts exchange: its CRC-32."""
+    """Return the CRC-32 of an upstream's name, by which fronts identify it in messages to each other."""
     return zlib.crc32(name)
--- a/marbleglade/model/watch_event.py
+++ b/marbleglade/model/watch_event.py
@@ -1,4 +1,4 @@
-"""Watch events: what the discovery service sends of the endpoint list and of purges, in whatever encoding."""
+"""Watch events of the discovery service, independent of their encoding: endpoint lists and purges."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from .upstream import UpstreamState
 
-NEVER = 1 << 53  # no Unix millisecond is as late
+NEVER = 1 << 53  # later than any time in Unix milliseconds; stands for a time that can't be read
 
 
 @dataclass(slots=True)
@@ -14,13 +14,13 @@
     """An entry of the endpoint list.
 
     Attributes:
-        id: Its id, by which later events name it again.
+        id: Id of the endpoint; later events refer to it by this id.
         address: Host and port.
-        zone: Name of its zone.
-        kind: Name of its machine kind.
-        cell: Number of its cell.
-        state: Whether it may be used.
-        started_ms: Unix milliseconds at which the endpoint started; 0: not known.
+        zone: Name of the zone.
+        kind: Name of the machine kind.
+        cell: Number of the cell.
+        state: Whether the endpoint may be used.
+        started_ms: Time at which the endpoint's process started, Unix milliseconds; 0 if not known.
     """
 
     id: str
@@ -38,9 +38,9 @@
 
     Attributes:
         index: Number of the event.
-        complete: The list is complete: endpoints that it does not name are gone.
-        endpoints: The entries that can be read.
-        unreadable: Ids of the entries that can't be read.
+        complete: Whether the list is complete; if so, endpoints missing from it have been removed.
+        endpoints: The entries that could be parsed.
+        unreadable: Ids of the entries that could not be parsed.
     """
 
     index: int
@@ -55,9 +55,9 @@
 
     Attributes:
         index: Number of the event.
-        object_id: The object; 0: a group is purged.
+        object_id: The object; 0 for the purge of a group.
         group: The purge group.
-        unix_ms: What was sent before this is purged; `NEVER`, and so all of it, if it can't be read.
+        unix_ms: Responses issued before this time are purged; `NEVER` (so all are) if it can't be read.
     """
 
     index: int
@@ -68,14 +68,14 @@
 
 @dataclass(slots=True)
 class Heartbeat:
-    """The number of the last event, sent once a second."""
+    """A message, sent once a second, with the number of the last event."""
 
     index: int
 
 
 @dataclass(slots=True)
 class UnknownEvent:
-    """An event of an unknown kind, or one that can't be used. Its number counts."""
+    """An event of unknown kind or with invalid content. It is ignored except for its number."""
 
     index: int
 
--- a/marbleglade/policy/stages/__init__.py
+++ b/marbleglade/policy/stages/__init__.py
@@ -1,1 +1,1 @@
-"""The stages that a request passes on its way to an upstream, and the result on its way back."""
+"""The stages of the policy: requests pass through them to an upstream, and attempt results pass back."""
--- a/marbleglade/policy/stages/admission.py
+++ b/marbleglade/policy/stages/admission.py
@@ -1,6 +1,7 @@
-"""The first stage of requests, and the last one of results: gives up what no stage retried.
+"""The first stage for requests and the last stage for results.
 
-It rejects no new request; by load that is `routing`.
+It rejects or fails the requests that the retry stage did not retry. It never rejects a new request: the
+`routing` stage rejects new requests on overload.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 from ..retry_budget import RetryBudget
 from .stage import RequestStage
 
-ASSUMED_FLOW_KB_PER_S = 1.0  # throughput of a transfer where the settings state none
+DEFAULT_FLOW_KB_PER_S = 1.0  # used when the settings state no throughput of a transfer
 
 
 class Admission:
-    """Gives each request its context: size, repeated use, end of the latency objective."""
+    """Creates the context of each request: transfer time, use count of the object, latency objective."""
 
     def __init__(
         self,
@@ -49,32 +50,33 @@
         context = request.context = self._create_context(request, history)
         if context.size_known:
             self._load.observe_transfer_time(request_class, context.transfer_time)
-        # The objective counts from when the request was read. How long it lay unread is known only as an
-        # upper bound; with that, all requests that arrived while this front was delayed would be rejected.
+        # The objective starts when the request was read. How long the request waited to be read is known
+        # only as an upper bound. If that bound counted, every request that arrived while this front was
+        # delayed would be rejected.
         objective = request_class.latency_objective + int(
             request_class.objective_stretch * context.transfer_time
         )
         context.objective_at = min(now + objective, request.deadline)
-        if not request.is_client_retry:  # a client's retry belongs to its first request
+        if not request.is_client_retry:  # only first requests add to the retry budget
             self._retry_budget.deposit()
         self._next_stage.handle_request(request)
 
     def handle_result(self, attempt: Attempt) -> bool:
-        """Give up the request, for the reason that the retry stage noted as it let the result go on."""
+        """Reject or fail the request; the retry stage has already stored the reason in the request."""
         self._rejection.give_up(attempt.request)
         return True
 
     def _create_context(self, request: Request, history: ObjectHistory) -> RequestContext:
-        """Return the context of a request, which its object's history takes in."""
-        flow_kb_per_s = self._parameters.flow_kb_per_s or ASSUMED_FLOW_KB_PER_S
-        known_time = int(request.size_kb / flow_kb_per_s * SECOND_NS) or history.transfer_time
+        """Return the context of a request, and add the request to the history of its object."""
+        flow_kb_per_s = self._parameters.flow_kb_per_s or DEFAULT_FLOW_KB_PER_S
+        known_transfer_time = int(request.size_kb / flow_kb_per_s * SECOND_NS) or history.transfer_time
         context = RequestContext(
             history,
-            transfer_time=known_time or self._load.mean_transfer_time(request.request_class),
-            size_known=bool(known_time),
+            transfer_time=known_transfer_time or self._load.mean_transfer_time(request.request_class),
+            size_known=bool(known_transfer_time),
             is_new_object=not history.uses,
         )
         history.uses += not request.is_client_retry
-        history.transfer_time = known_time
+        history.transfer_time = known_transfer_time
         context.cache_priority = cache_priority(history.uses, request.request_class.uncacheable)
         return context
--- a/marbleglade/policy/stages/dispatch.py
+++ b/marbleglade/policy/stages/dispatch.py
@@ -1,4 +1,4 @@
-"""The last stage: sends attempts, and attributes their results to upstreams."""
+"""The last stage: sends attempts and attributes their results to upstreams."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
 from ..load_estimate import LoadEstimate
 from ..timers import AttemptTimers
 
-# Response sources that prove that the fill source filled the object.
-PROVEN_FILLS = (ResponseSource.FILLED, ResponseSource.FROM_ORIGIN)
-# Results that show that the cache is alive.
-ANSWERED = (AttemptResult.OK, AttemptResult.MISS, AttemptResult.REJECTED, AttemptResult.ERROR)
-# Share of a failure that is attributed to the source of a rejected fill: either it or the cache may be full.
+# Response sources which prove that the fill source delivered the object.
+CONFIRMED_FILLS = (ResponseSource.FILLED, ResponseSource.FROM_ORIGIN)
+# Results which prove that the cache is responsive.
+RESPONSIVE_RESULTS = (AttemptResult.OK, AttemptResult.MISS, AttemptResult.REJECTED, AttemptResult.ERROR)
+# Share of a failure that is attributed to the fill source when an attempt that expects a fill is rejected:
+# half, because either the source or the cache may be overloaded.
 REJECTING_SOURCE_SHARE = 1 / 2
-# Time beyond the transfer time after which an attempt counts as overdue: half of the latency objective.
-OVERDUE_TIMES_PER_OBJECTIVE = 2
-BROKEN_CONNECTION = (AttemptResult.RESET, AttemptResult.CONNECT_FAILED)
+# An attempt is overdue when it exceeds its transfer time by the latency objective divided by this number.
+OVERDUE_OBJECTIVE_DIVISOR = 2
+CONNECTION_FAILURES = (AttemptResult.RESET, AttemptResult.CONNECT_FAILED)
 
 
 class Dispatch:
-    """Sends attempts and judges the upstreams by their results."""
+    """Sends attempts and updates the health of upstreams from the results."""
 
     def __init__(
         self,
@@ -58,12 +59,12 @@
 
         Args:
             request: The request.
-            cache: The upstream that is to answer.
-            source: The upstream that fills a miss; the cache itself for no fill.
-            only_if_cached: Whether the answer must be a miss unless the cache or the source holds the object.
+            cache: The upstream to send the attempt to.
+            source: The upstream to fill a miss from; `cache` itself to allow no fill.
+            only_if_cached: Whether to respond with a miss when neither `cache` nor `source` holds the object.
         """
         now, request_class, context = self._host.now(), request.request_class, request.context
-        # While fills are slow a stale response is better than none, and is revalidated in the background.
+        # While fills are slow, a stale response is better than none. It is revalidated in the background.
         fills_slow = only_if_cached or self._links.fills.slowdown(now) > CONGESTED_SLOWDOWN
         max_age = self._cache_age.age_limit(request, now, request_class.stale_grace if fills_slow else 0)
         cacheable = request_class.freshness_lifetime > 0 and source is not cache
@@ -79,21 +80,21 @@
             cache_locally=context.cache_priority > FIRST_CACHE_PRIORITY,
             refresh=cacheable and (fills_slow or max_age == DEFAULT_MAX_AGE),
         )
-        self._charge(attempt, now)
+        self._count_in_flight(attempt, now)
         self._reserve_links(attempt, only_if_cached)
-        overdue_after = request_class.latency_objective // OVERDUE_TIMES_PER_OBJECTIVE
+        overdue_after = request_class.latency_objective // OVERDUE_OBJECTIVE_DIVISOR
         deadline = max(context.objective_at, now + context.transfer_time + overdue_after)
         self._timers.schedule(deadline, attempt)
 
     def handle_result(self, attempt: Attempt) -> bool:
-        """Take in how an attempt ended."""
+        """Update the health of the upstreams, the link models and the request context from a result."""
         now, context = self._host.now(), attempt.request.context
         inconclusive = attempt.result is AttemptResult.ERROR and not self._is_fault(attempt)
         if inconclusive:
             context.unexplained_errors.append(attempt)
         for upstream in (attempt.upstream, attempt.fill_source):
             upstream.health.end_attempt(attempt, inconclusive, now)
-        if attempt.result in ANSWERED:
+        if attempt.result in RESPONSIVE_RESULTS:
             attempt.upstream.health.last_response_at = now
         if attempt.result is AttemptResult.OK:
             self._record_success(attempt, now)
@@ -104,7 +105,7 @@
         self._link_observer.observe(attempt)
         return True
 
-    def _charge(self, attempt: Attempt, now: int) -> None:
+    def _count_in_flight(self, attempt: Attempt, now: int) -> None:
         request_class = attempt.request.request_class
         cache, source = attempt.upstream.health, attempt.fill_source.health
         cache.in_flight[attempt] = None
@@ -118,18 +119,19 @@
     def _reserve_links(self, attempt: Attempt, only_if_cached: bool) -> None:
         links: list[LinkModel] = self._prediction.links_used(attempt.request, attempt.upstream)
         if attempt.fill_source is attempt.upstream:
-            links = links[:1]  # the upstream's own: nothing is filled
+            links = links[:1]  # only the upstream's own link: there is no fill
         elif only_if_cached:
-            links = links[:2]  # and that of fills: nothing is fetched from the origin
+            links = links[:2]  # also the link for fills, but no link to the origin: nothing is fetched
         for link in links:
             link.in_flight += 1
         attempt.link_reservations = [LinkReservation(link, link.in_flight) for link in links]
 
     @staticmethod
     def _is_fault(attempt: Attempt) -> bool:
-        """Return whether an error is an upstream's fault.
+        """Return whether the attempt ended with an error that was caused by an upstream.
 
-        Where no size was seen there may be no such object, which is nobody's fault; a write needs none.
+        An error for an object of unknown size is inconclusive, because the object may not exist. A write
+        does not need an existing object, so its errors always count.
         """
         request = attempt.request
         is_error = attempt.result is AttemptResult.ERROR
@@ -138,8 +140,8 @@
     def _record_success(self, attempt: Attempt, now: int) -> None:
         cache, source, context = attempt.upstream, attempt.fill_source, attempt.request.context
         cache.health.record_result(0, now)
-        # There is such an object, so earlier errors were the fault of the other upstreams. A parent fills
-        # mostly new objects, and would otherwise never be held responsible.
+        # The object exists, so earlier errors were caused by the other upstreams. Without this, no failure
+        # would ever be attributed to a parent, because parents mostly fill new objects.
         while context.unexplained_errors:
             failed = context.unexplained_errors.pop()
             others = [each for each in (failed.upstream, failed.fill_source) if each not in (cache, source)]
@@ -147,30 +149,30 @@
         if attempt.expects_fill and attempt.response_source is not ResponseSource.HIT:
             source.health.record_result(0, now)
         unreported = attempt.response_source is ResponseSource.NOTHING
-        surely_filled = attempt.expects_fill and context.is_new_object and unreported
-        if attempt.response_source in PROVEN_FILLS or surely_filled:
+        must_be_filled = attempt.expects_fill and context.is_new_object and unreported
+        if attempt.response_source in CONFIRMED_FILLS or must_be_filled:
             source.health.last_response_at = now
 
     def _attribute_failure(self, attempt: Attempt, now: int) -> None:
         cache, source = attempt.upstream, attempt.fill_source
         is_fault = self._is_fault(attempt)
-        if attempt.result in BROKEN_CONNECTION or (is_fault and source is cache):
+        if attempt.result in CONNECTION_FAILURES or (is_fault and source is cache):
             self._attribution.attribute_and_eject_outlier(cache, FULL_SHARE, now)
         elif attempt.result is AttemptResult.REJECTED and attempt.expects_fill:
-            # Without a fill the cache is full, which its link model takes in.
+            # A rejection without a fill means that the cache is overloaded: its link model accounts for that.
             self._attribution.attribute_and_eject_outlier(source, REJECTING_SOURCE_SHARE, now)
         elif is_fault:
             self._attribution.split_and_eject_outliers([cache, source], now)
 
     @staticmethod
     def _upstreams_to_avoid(attempt: Attempt) -> list[Upstream]:
-        """Return what a retry should avoid: first the source, after a second failure the cache.
+        """Return the upstreams that a retry should avoid: first the source, after a second failure the cache.
 
-        A second error that may mean that there is no such object rules out both: the next result tells whose
-        fault it was.
+        After a second error of an object that may not exist, the retry avoids both. Its result then shows
+        whether the upstreams caused the errors.
         """
         cache, source, context = attempt.upstream, attempt.fill_source, attempt.request.context
         if len(context.unexplained_errors) > 1:
             return [cache, source]
-        no_response = attempt.result in (*BROKEN_CONNECTION, AttemptResult.TIMEOUT)
+        no_response = attempt.result in (*CONNECTION_FAILURES, AttemptResult.TIMEOUT)
         return [cache if no_response or source in context.avoided else source]
--- a/marbleglade/policy/stages/fill_source.py
+++ b/marbleglade/policy/stages/fill_source.py
@@ -1,4 +1,4 @@
-"""The stage that selects who fills a cache miss, and learns which caches hold which objects."""
+"""The stage that selects the fill source for a cache miss, and updates the directory from results."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from ..cache_age import CacheAgeLimit
 from ..durations import Durations
 from ..parent_selection import ParentSelection
-from .dispatch import PROVEN_FILLS, Dispatch
+from .dispatch import CONFIRMED_FILLS, Dispatch
 
-FILL_LATENCY_WEIGHT = 1 / 16  # of one response
+FILL_LATENCY_WEIGHT = 1 / 16  # weight of one response in the running mean of the fill latency
 
 
 class FillSource:
-    """Names a sibling that the directory lists, or the object's parent, as the source of a fill."""
+    """Selects the fill source: a sibling cache listed in the directory, or the parent of the object."""
 
     def __init__(
         self,
@@ -38,10 +38,10 @@
         self._dispatch = dispatch
 
     def send(self, request: Request, cache: Upstream) -> None:
-        """Send an attempt to a cache, with the fastest fill source."""
+        """Send an attempt to a cache, with the best fill source for a miss."""
         now = self._host.now()
         parent = self._parents.select_or_origin(request, now) or cache
-        self._dispatch.send(request, cache, self._sibling_or(parent, request, cache, now))
+        self._dispatch.send(request, cache, self._select_source(parent, request, cache, now))
 
     def holders(self, request: Request, now: int) -> list[Upstream]:
         """Return the active caches that the directory lists for the object."""
@@ -54,7 +54,7 @@
         ]
 
     def handle_result(self, attempt: Attempt) -> bool:
-        """Update the directory and the latency of fills."""
+        """Update the directory and the mean fill latency of the source."""
         request, source = attempt.request, attempt.fill_source
         if attempt.result is AttemptResult.OK and not request.context.response_started:
             self._record_holder(attempt)
@@ -64,13 +64,13 @@
             self._directory.discard(request.object_id, request.part, source)
         return True
 
-    def _sibling_or(self, parent: Upstream, request: Request, cache: Upstream, now: int) -> Upstream:
-        """Return the least busy sibling that holds the object if it fills no slower, else the parent.
+    def _select_source(self, parent: Upstream, request: Request, cache: Upstream, now: int) -> Upstream:
+        """Return the least loaded sibling that holds the object, unless the parent fills faster.
 
         Args:
-            parent: The parent or origin; the cache itself if there is none.
+            parent: The parent or origin; `cache` if there is neither.
             request: The request.
-            cache: The cache that is to be filled.
+            cache: The cache to fill.
             now: The present time, ns.
         """
         if (
@@ -101,8 +101,8 @@
     def _record_fill_latency(self, attempt: Attempt) -> None:
         source = attempt.fill_source
         unreported_fill = not self._parameters.reports_cache_status and source is not attempt.upstream
-        if attempt.response_source in PROVEN_FILLS or unreported_fill:
-            # Of an upstream that does not report its queueing time, all that was not transfer.
+        if attempt.response_source in CONFIRMED_FILLS or unreported_fill:
+            # If the upstream reports no queueing time, all latency beyond the transfer time counts.
             wait = attempt.queueing_time or attempt.latency - attempt.request.context.transfer_time
             health = source.health
             health.fill_latency += (max(0, wait) - health.fill_latency) * FILL_LATENCY_WEIGHT
--- a/marbleglade/policy/stages/local_cache.py
+++ b/marbleglade/policy/stages/local_cache.py
@@ -11,7 +11,7 @@
 
 
 class LocalCacheStage:
-    """Serves a cached response if it is fresh enough and the front's own link transmits it in time."""
+    """Serves a cached response if it is fresh enough and the front's own link can transmit it in time."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         self._parameters = parameters
         self._cache_age = cache_age
         self._next_stage = next_stage
-        self._link_free_at = 0  # when the front's own link has sent what it was given
+        self._link_free_at = 0  # when the front's own link will have sent the responses served so far, ns
 
     def handle_request(self, request: Request) -> None:
         """Serve the cached response, or pass the request on."""
@@ -33,7 +33,7 @@
             self._next_stage.handle_request(request)
 
     def _serve_if_fresh(self, request: Request, cached: CachedResponse, now: int) -> bool:
-        """Serve the response if it is fresh and in time; return whether it was served."""
+        """Serve the response if it is fresh and arrives in time; return whether it was served."""
         link_time = int(cached.transfer_time / self._parameters.local_link_capacity)
         link_free_at = max(now, self._link_free_at) + link_time
         sent_at = max(link_free_at, now + cached.transfer_time)
@@ -41,7 +41,7 @@
             return False
         lifetime = request.request_class.freshness_lifetime
         max_age = self._cache_age.age_limit(request, now) or lifetime
-        if 0 < max_age <= now - cached.issued_at:  # 0: of any age
+        if 0 < max_age <= now - cached.issued_at:  # 0: no limit on the age
             return False
         self._link_free_at = link_free_at
         self._host.serve_cached(request)
--- a/marbleglade/policy/stages/retry.py
+++ b/marbleglade/policy/stages/retry.py
@@ -1,4 +1,4 @@
-"""The stage that decides on retries."""
+"""The stage that decides whether a failed attempt is retried."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from ..retry_budget import RETRY_PRICE, RetryBudget
 from .stage import RequestStage
 
-QUICK_REJECTION_PRICE = RETRY_PRICE / 4  # of a retry after an attempt that was rejected at once
-STALE_ENTRY_PRICE = 0  # of a retry after the directory listed a sibling that no longer had the object
-MAX_UNEXPLAINED_ERRORS = 2  # more errors of an object of unknown size mean that there is no such object
+QUICK_REJECTION_PRICE = RETRY_PRICE / 4  # price of a retry after an attempt that was rejected quickly
+STALE_ENTRY_PRICE = 0  # price of a retry after a miss at a sibling that the directory still listed
+MAX_UNEXPLAINED_ERRORS = 2  # with more errors, an object of unknown size is taken as not existing
 
 
 class Retry:
@@ -35,13 +35,15 @@
         self._next_stage = next_stage
 
     def handle_request(self, request: Request) -> None:
-        """Pass on the first attempt."""
+        """Pass a new request on for its first attempt."""
         self._next_stage.handle_request(request)
 
     def handle_result(self, attempt: Attempt) -> bool:
-        """Retry if that is allowed; return whether the result goes on to the next stage, which gives up.
+        """Retry the request if that is allowed.
 
-        In that case the reason is noted at the request.
+        Returns:
+            True if the last attempt has ended and no retry is allowed. The reason is then stored in the
+            request, and the admission stage rejects or fails it.
         """
         request = attempt.request
         if request.finished or request.context.response_started:
@@ -57,7 +59,7 @@
         return False
 
     def _price(self, attempt: Attempt) -> float:
-        """Return what a retry after that attempt costs, in tokens of the retry budget."""
+        """Return the price of a retry after this attempt, in tokens of the retry budget."""
         if self._is_stale_directory_entry(attempt):
             return STALE_ENTRY_PRICE
         rejected_at_once = (
@@ -66,7 +68,7 @@
         return QUICK_REJECTION_PRICE if rejected_at_once else RETRY_PRICE
 
     def _reason_against_retry(self, attempt: Attempt, price: float) -> NoRetryReason | None:
-        """Return why no retry may follow that attempt; None if one may."""
+        """Return why the attempt must not be retried; None if a retry is allowed."""
         request = attempt.request
         if self._is_object_missing(attempt):
             return NoRetryReason.OBJECT_NOT_FOUND
@@ -76,7 +78,7 @@
             return NoRetryReason.ATTEMPT_LIMIT
         if not self._retry_budget.affords(price):
             return NoRetryReason.BUDGET_EMPTY
-        if request.client_half_closed:  # it has most likely left
+        if request.client_half_closed:  # the client has most likely left
             return NoRetryReason.CLIENT_HALF_CLOSED
         if self._host.now() + request.context.transfer_time >= request.deadline:
             return NoRetryReason.DEADLINE
@@ -90,7 +92,7 @@
 
     @staticmethod
     def _is_stale_directory_entry(attempt: Attempt) -> bool:
-        """Return whether a sibling that the directory listed no longer had the object."""
+        """Return whether the fill source was a sibling in the directory that no longer held the object."""
         return (
             attempt.result is AttemptResult.MISS
             and attempt.fill_source.role is UpstreamRole.CACHE
--- a/marbleglade/policy/stages/routing.py
+++ b/marbleglade/policy/stages/routing.py
@@ -21,19 +21,19 @@
 from .dispatch import Dispatch
 from .fill_source import FillSource
 
-FIRST_ATTEMPT_PERCENT = 70  # of the remaining time, that a first attempt may take: a retry may follow
-FULL_CONGESTION = 1  # transfers in progress over those that fit at full throughput: no capacity is left
+FIRST_ATTEMPT_TIME_PERCENT = 70  # of the remaining time; the rest is left for a retry
+FULL_CONGESTION = 1  # ratio of transfers in progress to link capacity at which no capacity is left
 
 
 class PredictedResponse(NamedTuple):
-    """A cache, and the time in which it is predicted to respond, ns."""
+    """A cache and its predicted response time, ns."""
 
     cache: Upstream
     response_time: int
 
 
 class Routing:
-    """Sends a request to the first usable cache in the order of the rendezvous hash that is in time."""
+    """Sends a request to the first usable cache in rendezvous hash order that can respond in time."""
 
     def __init__(
         self,
@@ -64,18 +64,18 @@
         self._dispatch = dispatch
 
     def handle_request(self, request: Request) -> None:
-        """Send the request to a cache, with or without a fill, past all caches, or give it up."""
+        """Send the request to a cache, or to a parent directly, or reject or fail it."""
         now, context = self._host.now(), request.context
         caches = self._cache_selection.candidates(request, now)
         time_left = context.objective_at - now
         if not request.attempts:
-            time_left = time_left * FIRST_ATTEMPT_PERCENT // 100
+            time_left = time_left * FIRST_ATTEMPT_TIME_PERCENT // 100
         if not caches:
             is_any_active = bool(self._upstreams.zone_caches)
             reason = NoCacheReason.NONE_ADMITTED if is_any_active else NoCacheReason.NONE_ACTIVE
             self._bypass_caches(request, time_left, reason)
             return
-        cache, response_time = self._select(request, caches, time_left)
+        cache, response_time = self._select_cache(request, caches, time_left)
         idempotent = request.request_class.idempotency is Idempotency.IDEMPOTENT
         if not idempotent or (
             response_time <= time_left
@@ -85,10 +85,10 @@
         else:
             self._avoid_congestion(request, caches[0], cache, time_left, now)
 
-    def _select(self, request: Request, caches: list[Upstream], time_left: int) -> PredictedResponse:
-        """Return the first cache that is in time, else the fastest.
+    def _select_cache(self, request: Request, caches: list[Upstream], time_left: int) -> PredictedResponse:
+        """Return the first cache that can respond in time, else the fastest one.
 
-        The order of the hash gives an object that is in demand a second cache, and not many.
+        The hash order makes a popular object spread to a second cache, but not to many.
         """
         response_time = self._prediction.response_time(request, caches[0])
         if response_time <= time_left:
@@ -102,27 +102,27 @@
     def _avoid_congestion(
         self, request: Request, preferred: Upstream, cache: Upstream, time_left: int, now: int
     ) -> None:
-        """Handle a request that no cache can answer in time with a fill.
+        """Handle a request that no cache can fill in time, or whose fill would overload the origin.
 
-        Where only fills are congested, the preferred cache serves what it or, if the zone's link is reported
-        to have capacity, a parent holds. Where the cache's own link is congested, a parent may serve the
-        client.
+        If only fills are congested, the preferred cache is asked for the object if it is cached there or, as
+        long as the zone's link is reported to have capacity, at a parent. If the cache's own link is
+        congested, a parent may respond to the request directly.
 
         Args:
             request: The request.
-            preferred: The first cache in the order of the hash.
-            cache: The cache that was selected by its predicted response time.
-            time_left: Time that the response may take, ns.
+            preferred: The first cache in hash order.
+            cache: The cache selected by predicted response time.
+            time_left: The longest response time that is still in time, ns.
             now: The present time, ns.
         """
-        last = max(self._upstreams.zone_caches, key=lambda each: each.reported_at)
-        report_valid = now - last.reported_at < self._report_lifetime
-        zone_link_free = report_valid and last.congestion < FULL_CONGESTION
+        last_reporting = max(self._upstreams.zone_caches, key=lambda each: each.reported_at)
+        report_valid = now - last_reporting.reported_at < self._report_lifetime
+        zone_link_free = report_valid and last_reporting.congestion < FULL_CONGESTION
         if self._prediction.own_link_time(request, cache) > time_left:
             if zone_link_free:
                 self._bypass_caches(request, time_left, NoCacheReason.CACHE_LINK_CONGESTED)
             else:
-                no_time = 0  # so that no parent serves the request: its response takes the zone's link
+                no_time = 0  # prevents a direct response of a parent, which would use the zone's link
                 self._bypass_caches(request, no_time, NoCacheReason.ZONE_LINK_NOT_FREE)
         elif request.attempts:
             self._rejection.give_up(request, NoRetryReason.FILLS_CONGESTED.value)
@@ -134,19 +134,19 @@
             self._dispatch.send(request, preferred, parent or preferred, only_if_cached=True)
 
     def _may_probe_fills(self, request: Request, cache: Upstream, now: int) -> bool:
-        """Return whether a fill is due that shows whether they are still slow: one at a time.
+        """Return whether a fill may be sent as a probe: each of its links is idle and due for a probe.
 
-        Without such fills a front would not notice that the congestion has ended.
+        Without such probes, the front could not detect that the congestion has ended.
         """
         fill_links = self._prediction.links_used(request, cache)[1:]
         return not any(link.in_flight or now < link.next_probe_at for link in fill_links)
 
-    def _bypass_caches(self, request: Request, time_left: int, no_cache: NoCacheReason) -> None:
-        """Let a parent serve the request itself, where that is allowed and in time, else give it up."""
+    def _bypass_caches(self, request: Request, time_left: int, no_cache_reason: NoCacheReason) -> None:
+        """Send the request to a parent directly if that is allowed and in time, else reject or fail it."""
         now = self._host.now()
         parent = self._direct_parent(request, time_left, now)
         if isinstance(parent, NoParentReason):
-            self._rejection.give_up(request, routing_reason(no_cache, parent))
+            self._rejection.give_up(request, routing_reason(no_cache_reason, parent))
             return
         # The parent fetches from the origin only while fills are not congested.
         fills_uncongested = self._links.fills.slowdown(now) < CONGESTED_SLOWDOWN
@@ -154,7 +154,7 @@
         self._dispatch.send(request, parent, source or parent)
 
     def _direct_parent(self, request: Request, time_left: int, now: int) -> Upstream | NoParentReason:
-        """Return the parent that may serve the request in place of the caches, else why none may."""
+        """Return the parent that may respond in place of the caches, or the reason why there is none."""
         if not self._parameters.parents_serve_directly:
             return NoParentReason.NOT_ALLOWED
         parent = self._parents.select(request, now)
--- a/marbleglade/policy/stages/stage.py
+++ b/marbleglade/policy/stages/stage.py
@@ -1,4 +1,4 @@
-"""What the stages of the policy have in common."""
+"""The interfaces of the policy's stages."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 
 
 class RequestStage(Protocol):
-    """A stage that requests pass."""
+    """A stage that handles requests."""
 
     def handle_request(self, request: Request) -> None:
         """Send an attempt, end the request, or pass it on to the next stage."""
 
 
 class ResultStage(Protocol):
-    """A stage that the results of attempts pass."""
+    """A stage that handles the results of attempts."""
 
     def handle_result(self, attempt: Attempt) -> bool:
-        """Take in a result; return whether it goes on to the next stage.
+        """Process a result.
 
-        False: no later stage sees it. True from the retry stage makes admission give up the request.
+        Returns:
+            True to pass the result on to the next stage; False to stop here. If the retry stage returns True,
+            the admission stage rejects or fails the request.
         """
