--- a/marbleglade/discovery_events.py
+++ b/marbleglade/discovery_events.py
@@ -1,4 +1,4 @@
-"""Applies what discovery, control nodes and other fronts send: endpoint lists, purges, drains."""
+"""Applies updates from discovery, control nodes and other fronts: endpoint lists, purges, drains."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from .state.upstream_registry import UpstreamRegistry
 from .transport.attempt_sender import AttemptSender
 
-MAX_PURGE_DELAY_NS = SECOND_NS  # within which discovery passes on a purge
+MAX_PURGE_DELAY_NS = SECOND_NS  # the longest delay of a purge in the discovery service
 
 
 class DiscoveryCallbacks(NamedTuple):
-    """What `DiscoveryEvents` needs from the rest of the front; by default there is no rest.
+    """Functions of the front that `DiscoveryEvents` calls; the defaults do nothing.
 
     Attributes:
-        confirmed_at: Returns when discovery last confirmed that nothing was missing here, ns; 0 if not known.
-        publish: Offers an update to the other fronts.
-        retract: Withdraws the drain of an upstream from what is offered, by its id.
+        confirmed_at: Returns when discovery last confirmed that this front missed no event, ns; 0 if unknown.
+        publish: Shares an update with the other fronts.
+        retract: Stops sharing the drain of the upstream with this id.
     """
 
     confirmed_at: Callable[[], int] = lambda: 0
@@ -35,16 +35,16 @@
 
 
 class DiscoveryEvents:
-    """Applies events to all parts of a front that they concern.
+    """Applies each event to all affected components of a front.
 
     Args:
         driver: Runs the policy.
-        upstream_client: Closes connections to upstreams that are gone or drained.
+        upstream_client: Closes connections to upstreams that are removed or drained.
         upstreams: The endpoint list.
         purge_history: The recent purges.
         local_cache: The front's own cache.
-        guard: Has the log and the counters.
-        callbacks: The rest of the front; None for the defaults.
+        guard: Provides the log and the counters.
+        callbacks: Functions of the front; None for the defaults.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self._callbacks = callbacks or DiscoveryCallbacks()
 
     def apply(self, event: EndpointListChange | Purge) -> None:
-        """Apply an event of discovery."""
+        """Apply an event of the discovery service."""
         if isinstance(event, Purge):
             self._purge(event)
             return
@@ -77,7 +77,7 @@
         self._log.info("endpoints", index=event.index, complete=event.complete, listed=len(update.listed))
 
     def apply_and_publish(self, event: EndpointListChange | Purge) -> None:
-        """Apply an event of discovery, and offer what it takes away to the other fronts."""
+        """Apply an event of the discovery service, and share its purge or drains with the other fronts."""
         self.apply(event)
         if isinstance(event, Purge):
             self._callbacks.publish(event)
@@ -89,7 +89,7 @@
                 self._callbacks.publish(UpstreamLeaving(event.index, endpoint.id, endpoint.started_ms))
 
     def apply_gossip(self, update: PeerUpdate) -> None:
-        """Apply an update from another front, in case discovery can't reach this one."""
+        """Apply an update from another front, in case the discovery service can't reach this one."""
         if isinstance(update, Purge):
             self._purge(update)
             return
@@ -102,47 +102,48 @@
         """Drain upstreams that are out of service for maintenance.
 
         Args:
-            starts_ms: As in `UpstreamRegistry.take_out_of_service`.
+            starts_ms: The machines; see `UpstreamRegistry.take_out_of_service`.
         """
         drained = self._upstreams.take_out_of_service(starts_ms)
         if not drained:
             return
         self._upstream_client.drop_connections(drained)
         self._driver.update_endpoints(drained, False)
-        self._log.info("out_of_service", upstreams=self._ids(drained))
+        self._log.info("out_of_service", upstreams=self._upstream_ids(drained))
 
     def withhold_upstreams(self, started_ms: int) -> None:
-        """Use no cache or parent until it is known which are out of service for maintenance.
+        """Drain caches and parents until it is known which are out of service for maintenance.
 
         Args:
-            started_ms: The start of this front, Unix ms; upstreams that started later are not out.
+            started_ms: The start of this front, Unix ms; upstreams that started later are in service.
         """
         withheld = self._upstreams.withhold(started_ms)
         self._upstream_client.drop_connections(withheld)
         self._driver.update_endpoints(withheld, False)
-        self._log.info("upstreams_withheld", upstreams=self._ids(withheld))
+        self._log.info("upstreams_withheld", upstreams=self._upstream_ids(withheld))
 
     def release_upstreams(self) -> None:
-        """Use the caches and parents again that were withheld and turned out to be in service."""
+        """Reactivate the caches and parents that were withheld and are in service."""
         released = self._upstreams.release()
         self._driver.update_endpoints(released, False)
-        self._log.info("upstreams_released", upstreams=self._ids(released))
+        self._log.info("upstreams_released", upstreams=self._upstream_ids(released))
 
-    def _ids(self, upstreams: list[Upstream]) -> list[str]:
+    def _upstream_ids(self, upstreams: list[Upstream]) -> list[str]:
         return [self._upstreams.by_upstream[upstream].id for upstream in upstreams]
 
     def _purge(self, purge: Purge) -> None:
         now = clock.now()
         readable = purge.unix_ms < NEVER
         purged_at = clock.from_unix_ms(purge.unix_ms) if readable else now
-        # Both compare the purge with an object's time of issue, which is converted by the same offset: the
-        # result is right even if this machine's clock is wrong.
+        # The history and the cache compare the purge with the issue time of objects, which is converted with
+        # the same offset. The comparison is correct even if this machine's clock is wrong.
         self._purge_history.add(purge.object_id, purge.group, purged_at, now)
         self._local_cache.purge(purge.object_id, purge.group, purged_at)
-        # An open request must not be served from the local cache after the purge has been forgotten.
+        # An open request may be served later than the history keeps the purge, so its response is detached.
         self._driver.open_requests.purge(purge.object_id, purge.group, purged_at)
-        # The policy needs the purge's age, which is at most the time since no event was missing here.
+        # The policy needs the age of the purge. The purge was issued at most `MAX_PURGE_DELAY_NS` before the
+        # last confirmation that no event was missing here.
         confirmed_at = self._callbacks.confirmed_at()
-        earliest = confirmed_at - MAX_PURGE_DELAY_NS if confirmed_at else purged_at
-        self._driver.handle_purge(purge.object_id, purge.group, min(max(purged_at, earliest), now))
+        earliest_purge_at = confirmed_at - MAX_PURGE_DELAY_NS if confirmed_at else purged_at
+        self._driver.handle_purge(purge.object_id, purge.group, min(max(purged_at, earliest_purge_at), now))
         self._counters.add("purge.received")
--- a/marbleglade/request_handler.py
+++ b/marbleglade/request_handler.py
@@ -1,6 +1,6 @@
-"""Processes one request: admits it, executes the steps that the policy decides, and passes on the response.
+"""Processes requests: admits a request, executes the policy's steps, and passes on the response.
 
-Nothing here depends on the protocol that a request arrived by, so that several can share the handler.
+Nothing here depends on the protocol by which a request arrived, so several protocols can share the handler.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 from .transport.upstream_connection import UpstreamResult
 from .upstream_monitor import UpstreamMonitor
 
-MAX_CLOCK_SKEW_NS = 2 * SECOND_NS  # between the clocks of two machines
-NOT_MODIFIED_COST_DIVISOR = 20  # a response without a body costs so much less than one with it
+MAX_CLOCK_SKEW_NS = 2 * SECOND_NS  # the largest accepted difference between the clocks of two machines
+NOT_MODIFIED_COST_DIVISOR = 20  # ratio of the cost of a full response to that of one without a body
 
 
 @dataclass(slots=True, eq=False)
 class _Progress:
-    """The results so far of the attempts of one request.
+    """The state of a request's attempts so far.
 
     Attributes:
-        served: The successful attempt; its body is reserved in the budget until it is dropped.
-        object_missing: The last attempt ended with the origin's answer that there is no such object.
+        served: The successful attempt; its body stays reserved in the body budget until it is released.
+        object_missing: Whether the last attempt ended with the origin's response that the object is missing.
     """
 
     served: UpstreamResult | None = None
@@ -46,16 +46,16 @@
 
 
 class HandlerParts(NamedTuple):
-    """The components that a request handler needs.
+    """The components of a request handler.
 
     Attributes:
         driver: Runs the policy.
-        upstream_client: Sends attempts.
-        upstreams: The upstreams that discovery has listed.
+        upstream_client: Sends attempts to upstreams.
+        upstreams: The upstreams listed by the discovery service.
         purge_history: The recent purges.
         local_cache: The front's own cache.
-        bytes_per_second: Throughput of one transfer from the local cache; 0 if it is not used.
-        guard: Records exceptions; has the log and the counters.
+        bytes_per_second: Throughput of one transfer from the local cache; 0 if the cache is not used.
+        guard: Records exceptions; also provides the log and the counters.
     """
 
     driver: PolicyDriver
@@ -68,17 +68,17 @@
 
 
 class RequestHandler:
-    """Handles the requests of one front, and holds the parts that they share.
+    """Handles the requests of one front, and holds the components shared by them.
 
     Attributes:
-        events: Applies what discovery and other fronts send.
-        monitor: The state of the upstreams: load, probes, status.
+        events: Applies events from the discovery service and from other fronts.
+        monitor: Handles load reports and probes of the upstreams, and reports their status.
 
     Args:
-        parts: The components that it needs; those used elsewhere are attributes of the same name.
-        rejects_all: Returns whether all requests are rejected for maintenance: the front is drained, or does
-            not know yet which machines are out of service.
-        callbacks: Passed on to `events`.
+        parts: The components of the handler. Those used elsewhere are attributes of the same name.
+        rejects_all: Returns whether all requests are rejected for maintenance, because the front is drained
+            or the list of machines out of service has not been received yet.
+        callbacks: The callbacks for `events`.
     """
 
     def __init__(
@@ -115,11 +115,11 @@
 
     @property
     def clock_resolution(self) -> int:
-        """Granularity of timers, ns."""
+        """Resolution of the timers, ns."""
         return self.driver.policy.parameters.clock_resolution
 
     def over_capacity(self) -> bool:
-        """Return whether a body waits for memory or too many requests are open; if so, count it."""
+        """Return whether a body waits for memory or too many requests are open; count it if so."""
         if not (self.upstream_client.body_budget.has_waiters or self.driver.open_requests.full):
             return False
         self.counters.add("request.over_capacity")
@@ -128,7 +128,7 @@
     # The steps of a request, from admission to the response.
 
     def admit(self, client_request: ClientRequest) -> Request:
-        """Return a client's request as the policy knows it."""
+        """Convert a client's request to the form that the policy uses, and record it in the log."""
         received_at = client_request.received_at or clock.now()
         self._request_log.admitted(client_request, received_at)
         return Request(
@@ -136,16 +136,16 @@
             object_id=int(client_request.object_id, 16),
             part=client_request.part,
             group=client_request.group,
-            size_kb=0.0,  # clients don't state it
+            size_kb=0.0,  # clients do not send the size
             received_at=received_at,
             deadline=received_at + client_request.timeout_ns,
             is_client_retry=client_request.is_client_retry,
         )
 
     def attach_cached(self, client_request: ClientRequest, request: Request) -> None:
-        """Attach the response from the local cache, if there is one.
+        """Attach the response from the local cache to a request, if there is one.
 
-        An uncacheable request gets none: a write must not be answered with a copy of what it writes to.
+        An uncacheable request gets none: a write must not be answered with a copy of the object it modifies.
         """
         if request.request_class.uncacheable:
             return
@@ -168,12 +168,12 @@
         )
 
     def cache_response(self, request: Request, response: UpstreamResponse) -> None:
-        """Store a response in the local cache, if it may be cached."""
+        """Store a response in the local cache if it may be cached."""
         if not self.bytes_per_second or not response.entity_tag or request.request_class.uncacheable:
             return
         issued_at = clock.from_unix_ms(response.issued_ms)
         if issued_at > clock.now() + MAX_CLOCK_SKEW_NS:
-            # This machine's clock or the upstream's is wrong, so the age of the object is not known.
+            # This machine's clock or the upstream's clock is wrong, so the age of the object is not known.
             self.counters.add("local_cache.issued_in_future")
             return
         entry = CachedObject(response.body, response.entity_tag, issued_at, request.group)
@@ -181,7 +181,7 @@
         self.local_cache.put(request.object_id, request.part, entry, purged_at)
 
     def answer_immediately(self, client_request: ClientRequest, request: Request) -> Response | None:
-        """Submit an admitted request; return its response if the policy decides at once, else call `run`."""
+        """Submit an admitted request; return its response if decided at once, else None: then call `run`."""
         try:
             decision = self._submit(client_request, request)
             if decision is None:
@@ -208,17 +208,17 @@
     def run(
         self, client_request: ClientRequest, request: Request, respond: Callable[[Response], None]
     ) -> None:
-        """Run a submitted request until it is answered or its client has left.
+        """Run a submitted request until it is answered or its client has disconnected.
 
         Args:
-            client_request: What the client sent.
-            request: The same as the policy knows it.
-            respond: Passes the response on; called once at most, and not if the client has left.
+            client_request: The request as sent by the client.
+            request: The same request in the form that the policy uses.
+            respond: Sends the response; called at most once, and never if the client has disconnected.
         """
         progress = _Progress()
         response = Response(RequestOutcome.FAILED)
         try:
-            response = self._follow_steps(client_request, request, progress)
+            response = self._run_steps(client_request, request, progress)
         except Exception as error:
             self.guard.record("request", error)
             request.finished = True
@@ -231,7 +231,7 @@
                 self.upstream_client.release_body(progress.served)
             self.guard.call("forget_request", self.driver.forget, request)
 
-    def _follow_steps(self, client_request: ClientRequest, request: Request, progress: _Progress) -> Response:
+    def _run_steps(self, client_request: ClientRequest, request: Request, progress: _Progress) -> Response:
         step = self.driver.next_step(request)
         while isinstance(step, AttemptOrder):
             self._execute_attempt(client_request, request, step, progress)
@@ -257,22 +257,22 @@
         self.driver.report_result(order, upstream_result.result, upstream_result.not_modified)
 
     def client_disconnected(self, request: Request) -> None:
-        """End a request whose client has left."""
+        """End a request whose client has disconnected."""
         self.driver.client_disconnected(request)
 
     def client_half_closed(self, request: Request) -> None:
-        """Send no further attempt for a request whose client sends no more, and has most likely left."""
+        """Allow no further attempt for a request whose client half-closed: it has most likely left."""
         self.driver.client_half_closed(request)
 
     def abandon_request(self, request: Request) -> None:
-        """Forget a request that was answered as failed, since an error keeps it from being run."""
+        """Cancel and remove a request that was answered as failed because an error prevents `run`."""
         try:
             self.driver.client_disconnected(request)
         finally:
             self.driver.forget(request)
 
     def _response(self, request: Request, decision: Decision, served: UpstreamResult | None) -> Response:
-        """Return the response to a decided request; `served` is its successful attempt, if there is one."""
+        """Return the response to a decided request; `served` is its successful attempt, if any."""
         if decision.from_local_cache and request.cached and request.cached.response:
             self.counters.add("request.served_from_local_cache")
             return request.cached.response
@@ -292,7 +292,7 @@
 
 
 def _is_missing_at_origin(order: AttemptOrder, upstream_result: UpstreamResult) -> bool:
-    """Return whether an attempt ended with the origin's answer that there is no such object."""
+    """Return whether an attempt ended with the origin's response that the object is missing."""
     if upstream_result.result is not AttemptResult.MISS or order.only_if_cached:
         return False
     source = order.attempt.fill_source
--- a/marbleglade/request_log.py
+++ b/marbleglade/request_log.py
@@ -18,8 +18,8 @@
     """Counts and logs each step of a request.
 
     Args:
-        counters: Where requests and attempts are counted.
-        log: Takes one debug line for each step.
+        counters: Counts requests and attempts.
+        log: Receives one debug line per step.
     """
 
     def __init__(self, counters: Counters, log: Log) -> None:
@@ -27,7 +27,7 @@
         self._log = log
 
     def admitted(self, client_request: ClientRequest, received_at: int) -> None:
-        """Record a new request, received at that time (ns)."""
+        """Record a new request that was received at `received_at` (ns)."""
         self._counters.add("request.received")
         if self._log.debug_on:
             self._log.debug(
--- a/marbleglade/state/body_budget.py
+++ b/marbleglade/state/body_budget.py
@@ -1,4 +1,4 @@
-"""A bound on the bytes of response bodies that a front holds while it receives and sends them."""
+"""A limit on the memory that a front uses for response bodies in transfer."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class BodyBudget:
-    """A byte budget shared by all bodies in transfer; reservations are granted in order of arrival.
+    """A byte budget shared by all bodies in transfer. Reservations are granted in order of arrival.
 
     Attributes:
-        max_bytes: The whole budget.
-        free_bytes: Bytes not reserved; negative while unconditional reservations exceed the budget.
-        waiting: Reservations not granted yet, oldest first: bytes, and the event that grants them.
+        max_bytes: Size of the budget.
+        free_bytes: Bytes not reserved. Negative while unconditional reservations exceed the budget.
+        waiting: Reservations not granted yet, oldest first: number of bytes, and an event set when granted.
 
     Args:
-        max_bytes: The whole budget.
+        max_bytes: Size of the budget.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -35,19 +35,19 @@
         try:
             granted.wait()
         except BaseException:
-            if granted.is_set():  # granted to a greenlet that was killed before it could use it
+            if granted.is_set():  # granted, but the greenlet was killed before it resumed
                 self.release(size)
             else:
                 self.waiting.remove(reservation)
-                self.release(0)  # a smaller reservation behind it may fit
+                self.release(0)  # a later, smaller reservation may fit now
             raise
 
     def reserve_unconditionally(self, size: int) -> None:
-        """Reserve bytes that are in use already, even beyond the budget."""
+        """Reserve bytes that are already in use, even if that exceeds the budget."""
         self.free_bytes -= size
 
     def release(self, size: int) -> None:
-        """Return bytes, and grant the waiting reservations that fit now."""
+        """Return bytes to the budget, and grant the waiting reservations that fit now."""
         self.free_bytes += size
         while self.waiting and self.waiting[0][0] <= self.free_bytes:
             reserved, granted = self.waiting.popleft()
@@ -55,10 +55,10 @@
             granted.set()
 
     def snapshot(self) -> dict[str, int]:
-        """Return the figures for the status report: bytes in all, bytes free, waiting reservations."""
+        """Return the values for the status report: total bytes, free bytes, waiting reservations."""
         return {"size": self.max_bytes, "free": self.free_bytes, "waiting": len(self.waiting)}
 
     @property
     def has_waiters(self) -> bool:
-        """True while at least one reservation has to wait; with no bytes free and no waiter it is False."""
+        """True while at least one reservation is waiting; False if no bytes are free but none is waiting."""
         return bool(self.waiting)
--- a/marbleglade/state/decisions.py
+++ b/marbleglade/state/decisions.py
@@ -1,4 +1,4 @@
-"""What a policy decides about a request (attempts to send, the outcome), and the response that follows."""
+"""The policy's decisions on a request (attempts to send, final outcome), and the resulting response."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     SERVED = 0
     REJECTED = 1
     FAILED = 2
-    CANCELLED = 3  # the client has left: no response is sent
+    CANCELLED = 3  # the client has disconnected: no response is sent
 
 
 class Decision(NamedTuple):
     """The policy's final decision on a request.
 
     Attributes:
-        outcome: How the request ends.
-        retry_after: For a rejected one, the pause that the client is asked for, ns; 0 for none.
-        from_local_cache: It is served from the front's own cache.
+        outcome: The outcome of the request.
+        retry_after: Retry-After of a rejected request, ns; 0 for none.
+        from_local_cache: Whether the response comes from the front's own cache.
     """
 
     outcome: RequestOutcome
@@ -39,14 +39,14 @@
     """The policy's order to send an attempt; see `PolicyHost.start_attempt` for the options.
 
     Attributes:
-        attempt: The attempt.
+        attempt: The attempt to send.
         max_age: Greatest age of a cached response, ns; 0 is `DEFAULT_MAX_AGE`.
-        join_fill: Wait for a fill in progress.
-        refresh: Have the upstream fetch the object even if it holds it.
-        only_if_cached: Have the upstream answer with a miss rather than fetch the object.
-        cache_locally: Store the response in the front's own cache.
-        result: Set with the result by the sender, or with None by the driver to cancel the attempt.
-        written: The attempt may have reached its upstream; the sender clears it when it has not.
+        join_fill: Whether to wait for a fill in progress rather than start another one.
+        refresh: Whether the upstream has to fetch the object even if it is cached there.
+        only_if_cached: Whether the upstream has to respond with a miss rather than fetch the object.
+        cache_locally: Whether to store the response in the front's own cache.
+        result: The sender sets it to the result; the driver sets it to None to cancel the attempt.
+        written: Whether the attempt may have reached the upstream; the sender clears it if it has not.
     """
 
     attempt: Attempt
@@ -59,7 +59,7 @@
     written: bool = True
 
     def cancel(self) -> None:
-        """Cancel the attempt, unless it has ended."""
+        """Cancel the attempt unless it has already ended."""
         if not self.result.ready():
             self.result.set(None)
 
@@ -69,14 +69,14 @@
     """The response to a client.
 
     Attributes:
-        outcome: How the request ended.
-        retry_after: For a rejected one, the pause that the client is asked for, ns; 0 for none.
-        not_modified: The client's own copy is current; there is no body.
-        body: The object's part.
-        entity_tag: The version of it.
-        issued_ms: When the origin issued it, Unix milliseconds.
-        object_missing: For a rejected one, the origin's last answer was that there is no such object.
-        may_have_run: For one that is not served, an upstream may have run it.
+        outcome: The outcome of the request.
+        retry_after: Retry-After of a rejected request, ns; 0 for none.
+        not_modified: Whether the client's own copy is current; if so, there is no body.
+        body: The requested part of the object.
+        entity_tag: The entity tag of this version of the object.
+        issued_ms: Time at which the origin issued the response, Unix milliseconds.
+        object_missing: For a rejected request: whether the origin last responded that the object is missing.
+        may_have_run: For a request that is not served: whether an upstream may have processed it.
     """
 
     outcome: RequestOutcome
--- a/marbleglade/state/directory.py
+++ b/marbleglade/state/directory.py
@@ -1,4 +1,4 @@
-"""A bounded directory of the caches that lately served each part of an object."""
+"""A bounded directory of the caches that recently served each part of an object."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Directory:
-    """Caches by object part, each with the time of its last response in nanoseconds.
+    """Caches by object part, each with the time of its last response, ns.
 
     Args:
-        max_entries: Number of parts above which the one added longest ago is dropped.
+        max_entries: Limit on the number of parts; above it, the least recently added part is dropped.
     """
 
     def __init__(self, max_entries: int) -> None:
@@ -27,7 +27,7 @@
         return len(self._entries)
 
     def caches(self, object_id: int, part: int) -> dict[Upstream, int]:
-        """Return the caches of a part, each with the time of its last response."""
+        """Return the caches that served a part, each with the time of its last response, ns."""
         return self._entries.get((object_id, part), {})
 
     def add(self, object_id: int, part: int, group: int, cache: Upstream, now: int) -> None:
@@ -46,7 +46,7 @@
         self.caches(object_id, part).pop(cache, None)
 
     def purge(self, object_id: int, group: int) -> None:
-        """Empty the entries of an object or, if it is 0, of a group; they keep their age order."""
+        """Clear the entries of an object or, if `object_id` is 0, of a group; their order does not change."""
         for key in self._index.matching(object_id, group):
             self._entries[key].clear()
             self._index.discard(key)
--- a/marbleglade/state/open_requests.py
+++ b/marbleglade/state/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that are not answered yet, each with the attempts and the decision that the policy ordered."""
+"""The requests without a response, each with the attempts and the decision ordered by the policy."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
     Attributes:
         request: The request.
-        pending_steps: Attempt orders and decisions that the handler has not fetched yet, in order.
-        step_waiter: Set when a step is added; None while no greenlet waits for one.
-        in_flight: The attempts in flight, each with its order.
-        decided: True once the outcome is among the steps.
+        pending_steps: Attempt orders and the decision that the handler has not fetched yet, in order.
+        step_waiter: Event to set when a step is added; None while no greenlet waits for a step.
+        in_flight: The orders of the attempts in flight.
+        decided: True once the final decision has been added to the steps.
     """
 
     request: Request
@@ -35,10 +35,10 @@
 
 
 class OpenRequests:
-    """All open requests; those with a response from the local cache are indexed for purges.
+    """All open requests. Those with a response from the local cache are indexed for purges.
 
     Args:
-        max_open: Number from which on no further request should be admitted; 0 for no limit.
+        max_open: Number of open requests at which further ones should be rejected; 0 for no limit.
     """
 
     def __init__(self, max_open: int) -> None:
@@ -56,7 +56,7 @@
         return bool(self.max_open) and len(self.by_request) >= self.max_open
 
     def add(self, request: Request) -> OpenRequest:
-        """Open a request; its cached response, if any, is attached before."""
+        """Open a request; its cached response, if any, must already be attached."""
         open_request = OpenRequest(request)
         self.by_request[request] = open_request
         if request.cached:
@@ -64,14 +64,14 @@
         return open_request
 
     def remove(self, request: Request) -> None:
-        """Forget a request; does nothing if it is not open."""
+        """Remove a request; does nothing if it is not open."""
         self.by_request.pop(request, None)
         self._requests_with_cached.discard(request)
 
     def purge(self, object_id: int, group: int, purged_at: int) -> None:
-        """Detach the cached responses older than a purge of an object or, if it is 0, of a group.
+        """Detach the cached responses older than a purge of an object or, if `object_id` is 0, of a group.
 
-        A request that is already decided keeps its cached response: it was answered before the purge.
+        A request that is already decided keeps its cached response: it was decided before the purge.
         """
         for request in self._requests_with_cached.matching(object_id, group):
             cached = request.cached
--- a/marbleglade/state/purge_history.py
+++ b/marbleglade/state/purge_history.py
@@ -1,4 +1,4 @@
-"""The recent purges, kept until no response from before them can arrive any more."""
+"""The recent purges, kept until no response that predates them can arrive any more."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 from ..model.parameters import Parameters
 
-UNKNOWN_GROUP = 256  # the group of an object is not known: a purge of any group may apply to it
+UNKNOWN_GROUP = 256  # stands for "not known": a purge of any group may apply to the object
 MAX_RECORDS = 1 << 16  # one hour of purges at 12 a second, delivered at once, is 43,200
 
 
 def purge_retention(parameters: Parameters) -> int:
-    """Return how long a purge has to be remembered, ns.
+    """Return how long a purge has to be kept, ns.
 
-    Caches may hold purged objects until the purge deadline, and a response to an attempt sent before the
-    purge was known may arrive as late as the longest client timeout.
+    Caches may hold purged objects until the purge deadline. The response to an attempt that was sent before
+    the front was notified of the purge may take up to the longest client timeout.
     """
     longest = max(request_class.client_timeout for request_class in parameters.request_classes)
     return parameters.purge_deadline + max(parameters.purge_deadline, longest)
 
 
 class PurgeRecord(NamedTuple):
-    """One purge, in nanoseconds of the front's clock.
+    """One purge; times are in nanoseconds of the front's clock.
 
     Attributes:
-        notified_at: When this front learned of it.
-        purged_at: The moment it applies to: what was issued before is invalid.
+        notified_at: Time at which this front was notified of the purge.
+        purged_at: Time of the purge; responses issued before it are invalid.
     """
 
     notified_at: int
@@ -34,14 +34,14 @@
 
 
 class PurgeHistory:
-    """The recent purges by object and by group; no call's cost grows with their number.
+    """The recent purges by object and by group. The cost of a call does not grow with their number.
 
     Args:
-        retention: Nanoseconds for which a purge is kept.
-        unknown_group: The group that stands for "not known", to which a purge of any group applies. None if
-            there is no such group.
-        max_records: Records kept. Above it the oldest one is merged into one record that applies to every
-            object, so that too much is treated as purged, and never too little.
+        retention: Time for which a purge is kept, ns.
+        unknown_group: The group number that stands for "not known"; a purge of any group applies to it.
+            None if there is no such number.
+        max_records: Limit on the number of records. Above it, the oldest record is merged into one that
+            applies to every object. Too many objects may then count as purged, but never too few.
     """
 
     def __init__(
@@ -50,18 +50,18 @@
         self.retention = retention
         self.unknown_group = unknown_group
         self.max_records = max_records
-        # By "object" or "group" and its number; in the order of notification, the oldest first.
+        # By ("object", id) or ("group", number), in order of notification, the oldest first.
         self.records: OrderedDict[tuple[str, int], PurgeRecord] = OrderedDict()
-        # The group purges with no later notification of a later purge: the first one has the latest
-        # `purged_at` of all groups, the last one the latest `notified_at`.
+        # The group purges not followed by the notification of a group purge with an equal or later
+        # `purged_at`. The first record has the latest `purged_at` of all, the last the latest `notified_at`.
         self._group_records: deque[PurgeRecord] = deque()
         self._merged: PurgeRecord | None = None
 
     def add(self, object_id: int, group: int, purged_at: int, now: int) -> None:
-        """Record a purge of an object or, if it is 0, of a group; `now` never decreases between calls."""
+        """Record a purge of an object or, if `object_id` is 0, of a group; `now` must never decrease."""
         key = ("object", object_id) if object_id else ("group", group)
-        known = self.records.pop(key, None)
-        latest = max(purged_at, known.purged_at) if known else purged_at
+        previous = self.records.pop(key, None)
+        latest = max(purged_at, previous.purged_at) if previous else purged_at
         record = PurgeRecord(now, latest)
         self.records[key] = record
         if not object_id:
@@ -71,19 +71,19 @@
         self._expire(now)
 
     def notified_since(self, object_id: int, group: int, moment: int) -> bool:
-        """Return whether the front was notified of a purge of the object or its group after a moment, ns."""
+        """Return whether the front was notified of a purge of the object or group after `moment` (ns)."""
         return any(record.notified_at > moment for record in self._applicable(object_id, group))
 
     def latest(self, object_id: int, group: int) -> int:
-        """Return when the object or its group was last purged, ns; 0 if not within the retention."""
+        """Return the time of the last purge of the object or group, ns; 0 if none within the retention."""
         return max((record.purged_at for record in self._applicable(object_id, group)), default=0)
 
     def latest_of_any_group(self) -> int:
-        """Return when any group was last purged, ns; 0 if not within the retention."""
+        """Return the time of the last purge of any group, ns; 0 if none within the retention."""
         return self.latest(0, UNKNOWN_GROUP)
 
     def _applicable(self, object_id: int, group: int) -> list[PurgeRecord]:
-        """Return the records that have the latest `purged_at` and `notified_at` of those that apply."""
+        """Return the applicable records with the latest `purged_at` and the latest `notified_at`."""
         if not self.records:
             return []
         records = [self._merged] if self._merged else []
@@ -97,7 +97,7 @@
         return records
 
     def _expire(self, now: int) -> None:
-        """Drop the records past the retention, and merge the oldest one if there are too many."""
+        """Drop the records older than the retention, and merge the oldest one if there are too many."""
         while now - next(iter(self.records.values())).notified_at > self.retention:
             self.records.popitem(last=False)
         while self._group_records and now - self._group_records[0].notified_at > self.retention:
--- a/marbleglade/state/purge_index.py
+++ b/marbleglade/state/purge_index.py
@@ -1,4 +1,4 @@
-"""An index that finds the items a purge applies to, at a cost that grows only with their number."""
+"""An index of the items that a purge applies to. The cost of a lookup depends only on their number."""
 
 from __future__ import annotations
 
@@ -9,47 +9,47 @@
 
 
 class PurgeIndex(Generic[Item]):
-    """Items by their object and by their purge group; an item must not be a set.
+    """Items by object and by purge group. An item must not be a set.
 
     Args:
-        unknown_group: The group that stands for "not known": a purge of any group applies to its items, too.
-            None if each item's group is known.
+        unknown_group: The group number that stands for "not known": a purge of any group applies to its
+            items, too. None if the group of every item is known.
     """
 
     def __init__(self, unknown_group: int | None = None) -> None:
         self._unknown_group = unknown_group
-        self._labels: dict[Item, tuple[int, int]] = {}  # object and group of each item
-        # A number with a single item maps to the item itself: most objects have one, and a set is large.
+        self._keys: dict[Item, tuple[int, int]] = {}  # (object id, group) of each item
+        # A single item is stored without a set: most objects have only one item, and a set takes much memory.
         self._by_object: dict[int, Item | set[Item]] = {}
         self._by_group: dict[int, Item | set[Item]] = {}
 
     def __len__(self) -> int:
         """Return the number of items."""
-        return len(self._labels)
+        return len(self._keys)
 
     def add(self, item: Item, object_id: int, group: int) -> None:
-        """Add an item; one that is present moves to the object and group given now."""
-        label = (object_id, group)
-        present = self._labels.get(item)
-        if present == label:
+        """Add an item, or move an existing item to this object and group."""
+        key = (object_id, group)
+        existing = self._keys.get(item)
+        if existing == key:
             return
-        if present:
+        if existing:
             self.discard(item)
-        self._labels[item] = label
+        self._keys[item] = key
         _insert(self._by_object, object_id, item)
         _insert(self._by_group, group, item)
 
     def discard(self, item: Item) -> None:
-        """Remove an item, if it is present."""
-        if label := self._labels.pop(item, None):
-            object_id, group = label
+        """Remove an item; does nothing if it is not indexed."""
+        if key := self._keys.pop(item, None):
+            object_id, group = key
             _remove(self._by_object, object_id, item)
             _remove(self._by_group, group, item)
 
     def matching(self, object_id: int, group: int) -> set[Item]:
-        """Return the items that a purge of an object or, if it is 0, of a group applies to.
+        """Return the items that a purge of an object or, if `object_id` is 0, of a group applies to.
 
-        An item of object 0, which no purge can name, belongs to every group.
+        Items of object 0 match every group purge, because no purge can address object 0.
         """
         matches = _items(self._by_object, object_id)
         if not object_id:
@@ -60,26 +60,26 @@
 
 
 def _insert(by_number: dict[int, Item | set[Item]], number: int, item: Item) -> None:
-    present = by_number.get(number)
-    if present is None:
+    existing = by_number.get(number)
+    if existing is None:
         by_number[number] = item
-    elif isinstance(present, set):
-        present.add(item)
+    elif isinstance(existing, set):
+        existing.add(item)
     else:
-        by_number[number] = {present, item}
+        by_number[number] = {existing, item}
 
 
 def _remove(by_number: dict[int, Item | set[Item]], number: int, item: Item) -> None:
-    present = by_number[number]
-    if isinstance(present, set):
-        present.remove(item)
-    if not isinstance(present, set) or not present:
+    existing = by_number[number]
+    if isinstance(existing, set):
+        existing.remove(item)
+    if not isinstance(existing, set) or not existing:
         del by_number[number]
 
 
 def _items(by_number: dict[int, Item | set[Item]], number: int) -> set[Item]:
-    """Return the items of a number as a new set."""
-    present = by_number.get(number)
-    if present is None:
+    """Return the items stored under a number, as a new set."""
+    existing = by_number.get(number)
+    if existing is None:
         return set()
-    return set(present) if isinstance(present, set) else {present}
+    return set(existing) if isinstance(existing, set) else {existing}
--- a/marbleglade/state/recent_trace_ids.py
+++ b/marbleglade/state/recent_trace_ids.py
@@ -1,17 +1,17 @@
-"""Detection of reused trace ids: clients use each one once, so a repeat is an error or an attack."""
+"""Detection of reused trace ids: clients use each id once, so a repeat is an error or an attack."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-MAX_TRACE_IDS = 1 << 14  # remembered at once; the oldest is dropped first
+MAX_TRACE_IDS = 1 << 14  # limit on the number of ids kept; above it, the oldest one is dropped
 
 
 class RecentTraceIds:
-    """The trace ids received lately.
+    """The trace ids received recently.
 
     Args:
-        retention: Nanoseconds for which an id is remembered.
+        retention: Time for which an id is kept, ns.
     """
 
     def __init__(self, retention: int) -> None:
@@ -19,7 +19,7 @@
         self.seen_at: OrderedDict[str, int] = OrderedDict()
 
     def is_new(self, trace: str, now: int) -> bool:
-        """Record a trace id; return False if it was received before within the retention."""
+        """Record a trace id; return False if it was already received within the retention."""
         trace = trace.lower()
         while self.seen_at and now - next(iter(self.seen_at.values())) > self.retention:
             self.seen_at.popitem(last=False)
--- a/marbleglade/textproto.py
+++ b/marbleglade/textproto.py
@@ -1,4 +1,4 @@
-"""Files in protobuf text format, read into a message."""
+"""Reading of protobuf text format files, and of the addresses in them."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 def parse_file(path: str, message: AnyMessage, max_bytes: int) -> AnyMessage:
-    """Parse the file at `path` into a message, and return the message.
+    """Parse the file at `path` into `message`, and return `message`.
 
     Raises:
-        ValueError: It can't be read or parsed, or is longer than `max_bytes`; the text has the path.
+        ValueError: The file can't be read or parsed, or is longer than `max_bytes`. The text names the file.
     """
     try:
         data = Path(path).read_bytes()
         if len(data) > max_bytes:
-            raise ValueError(f"it is longer than {max_bytes} bytes")
+            raise ValueError(f"the file is longer than {max_bytes} bytes")
         text_format.Parse(data.decode("utf-8"), message)
     except (OSError, ValueError, text_format.ParseError) as error:
         raise ValueError(f"{path}: {error}") from error
@@ -30,12 +30,12 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Parse `host:port` as `addresses.parse_address` does, with a port of ASCII digits alone.
+    """Parse `host:port` like `addresses.parse_address`, but allow only ASCII digits in the port.
 
     Raises:
-        ValueError: It is no such address.
+        ValueError: The text is not a valid address.
     """
     port = text.rpartition(":")[2]
     if not (port.isascii() and port.isdigit()):
-        raise ValueError(f"{text!r} has no port")
+        raise ValueError(f"{text!r} is not host:port with a decimal port number")
     return addresses.parse_address(text)
--- a/marbleglade/upstream_monitor.py
+++ b/marbleglade/upstream_monitor.py
@@ -1,4 +1,4 @@
-"""What a front knows of its upstreams: their load, load probes, and their state for the status report."""
+"""Monitoring of a front's upstreams: load reports, load probes, and the status report."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class UpstreamMonitor:
-    """Load reports, load probes and the status of a front's upstreams.
+    """Records load reports, sends load probes, and reports the status of a front's upstreams.
 
     Args:
         driver: Runs the policy, which orders the probes.
-        upstream_client: Sends them, and knows the connections.
+        upstream_client: Sends the probes, and counts connections and requests in flight.
         upstreams: The endpoint list.
-        guard: Records exceptions of a probe.
+        guard: Records exceptions raised by a probe.
     """
 
     def __init__(
@@ -37,10 +37,11 @@
         self._guard = guard
 
     def status(self) -> list[dict[str, object]]:
-        """Return, for each upstream, what the policy knows of it beside what its connections show.
+        """Return the status of each upstream: the policy's view of it, and the state of its connections.
 
-        Attempts in flight are counted three times, and the counts should be equal: `ordered` has those of
-        open requests, `policy_in_flight` those of the policy's health model, `in_flight` those being sent.
+        Attempts in flight are counted in three places, and the counts should be equal: `ordered` counts the
+        attempts of open requests, `policy_in_flight` those in the policy's health model, and `in_flight`
+        those that are being sent.
         """
         now = clock.now()
         ordered = self._driver.in_flight()
@@ -50,7 +51,7 @@
         ]
 
     def _status(self, upstream: Upstream, upstream_id: str, ordered: int, now: int) -> dict[str, object]:
-        health = upstream.health  # None before the policy has listed it
+        health = upstream.health  # None until the upstream is passed to the policy
         report_age_ms = (now - upstream.reported_at) // MILLISECOND_NS if upstream.reported_at else None
         return {
             "upstream": upstream_id,
@@ -64,18 +65,18 @@
         }
 
     def latest_congestion(self) -> tuple[float, int] | None:
-        """Return the congestion of the zone's latest load report and its time, ns; None if there is none."""
-        cache = self._last_reported()
+        """Return congestion and time (ns) of the zone's latest load report; None if there is no report."""
+        cache = self._latest_reporting_cache()
         return (cache.congestion, cache.reported_at) if cache and cache.reported_at else None
 
     def record_peer_congestion(self, congestion: float, reported_at: int) -> None:
-        """Store a load report of this zone that another front has received, if it is the latest one."""
-        cache = self._last_reported()
+        """Store the congestion of this zone that another front received, if it is the latest report."""
+        cache = self._latest_reporting_cache()
         if cache and cache.reported_at < reported_at:
             record_load_report(cache, {CONGESTION_FIELD: congestion}, reported_at)
 
-    def _last_reported(self) -> Upstream | None:
-        """Return the zone's cache with the latest load report, or any cache; None if there is none."""
+    def _latest_reporting_cache(self) -> Upstream | None:
+        """Return the zone's cache with the latest load report; None if the zone has no cache."""
         zone = self._driver.policy.parameters.zone
         caches = [
             upstream
@@ -86,8 +87,8 @@
 
     def run_probes(self) -> None:
         """Send the load probes that the policy orders; never returns."""
-        classes = self._driver.policy.parameters.request_classes
-        timeout = max(request_class.client_timeout for request_class in classes)
+        request_classes = self._driver.policy.parameters.request_classes
+        timeout = max(request_class.client_timeout for request_class in request_classes)
         while True:
             upstream = self._driver.next_probe()
             gevent.spawn(self._guard.call, "load_probe", self._probe_load, upstream, timeout)
