--- a/tests/state/purge_machine.py
+++ b/tests/state/purge_machine.py
@@ -1,4 +1,4 @@
-"""What state machines of purges share: the drawn values, the clock, and what a purge matches."""
+"""Shared by the state machine tests of purges: strategies, clock, and the rule of what a purge matches."""
 
 from hypothesis import settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, rule
@@ -19,7 +19,7 @@
 
 
 def matches_purge(purged_object, purged_group, object_id, group):
-    """Return whether a purge of an object or, if that is 0, of a group holds for an object of a group."""
+    """Return whether a purge of an object or, if that is 0, of a group applies to an object in a group."""
     return object_id == purged_object or (not purged_object and group in (purged_group, UNKNOWN_GROUP))
 
 
--- a/tests/state/test_purge_cost.py
+++ b/tests/state/test_purge_cost.py
@@ -1,6 +1,6 @@
-"""The cost of a purge does not grow with the entries.
+"""The cost of a purge does not grow with the number of entries.
 
-Counted in instructions of the interpreter that one purge takes, which no clock and no other load changes.
+The cost is counted in interpreter instructions, which depend neither on the clock nor on other load.
 """
 
 import gc
@@ -17,7 +17,7 @@
 
 
 def count_instructions(call, *arguments):
-    """Return how many instructions of the interpreter a call runs."""
+    """Return the number of interpreter instructions that a call executes."""
     count = 0
 
     def trace(frame, event, _):
@@ -27,7 +27,7 @@
         return trace
 
     before = sys.gettrace()
-    gc.disable()  # the collector's callbacks would be counted, too
+    gc.disable()  # callbacks of the garbage collector would be counted, too
     sys.settrace(trace)
     try:
         call(*arguments)
@@ -38,11 +38,11 @@
 
 
 def group_of(object_id, entries):
-    """Return the group of an object: four objects share it, and it never stands for "not known"."""
+    """Return the group of an object: four objects share each group, and none is `UNKNOWN_GROUP`."""
     return UNKNOWN_GROUP + 1 + object_id % (entries // 4)
 
 
-def purge_of_directory(entries):
+def make_directory_purge(entries):
     harness = PolicyHarness()
     for object_id in range(1, entries + 1):
         group = group_of(object_id, entries)
@@ -50,14 +50,14 @@
     return lambda object_id, group: harness.policy.handle_purge(object_id, group, START_NS)
 
 
-def purge_of_local_cache(entries):
+def make_local_cache_purge(entries):
     cache = LocalCache(entries)
     for object_id in range(1, entries + 1):
         cache.put(object_id, 0, CachedObject(b"x", "", START_NS, group_of(object_id, entries)), 0)
     return lambda object_id, group: cache.purge(object_id, group, START_NS)
 
 
-def purge_of_open_requests(entries):
+def make_open_requests_purge(entries):
     open_requests = OpenRequests(0)
     for object_id in range(1, entries + 1):
         cached = CachedResponse(1, START_NS)
@@ -66,9 +66,9 @@
     return lambda object_id, group: open_requests.purge(object_id, group, START_NS)
 
 
-def purge_of_history(entries):
+def make_history_purge(entries):
     history = PurgeHistory(entries * 2)
-    for number in range(entries * 4):  # those recorded longer ago than the retention are dropped on the way
+    for number in range(entries * 4):  # entries older than the retention are dropped during the loop
         object_id, group = (number, 0) if number % 4 else (0, number)
         history.add(object_id, group, START_NS + number, START_NS + number)
     end = START_NS + entries * 4
@@ -83,9 +83,9 @@
 
 @pytest.mark.parametrize("purge", [(9, 0), (0, UNKNOWN_GROUP + 9), (10**9, 0), (0, 10**9)])
 @pytest.mark.parametrize(
-    "purge_with_entries",
-    [purge_of_directory, purge_of_local_cache, purge_of_open_requests, purge_of_history],
+    "make_purge",
+    [make_directory_purge, make_local_cache_purge, make_open_requests_purge, make_history_purge],
 )
-def test_the_cost_of_a_purge_does_not_grow_with_the_entries(purge_with_entries, purge):
-    few, many = (count_instructions(purge_with_entries(entries), *purge) for entries in (64, 4096))
+def test_the_cost_of_a_purge_does_not_grow_with_the_entries(make_purge, purge):
+    few, many = (count_instructions(make_purge(entries), *purge) for entries in (64, 4096))
     assert few == many < 1200
--- a/tests/state/test_purge_history.py
+++ b/tests/state/test_purge_history.py
@@ -1,4 +1,4 @@
-"""Which purges a front remembers."""
+"""The retention of purges in the purge history."""
 
 from marbleglade.state.purge_history import PurgeHistory
 
--- a/tests/state/test_purge_history_states.py
+++ b/tests/state/test_purge_history_states.py
@@ -1,4 +1,4 @@
-"""The history of purges finds what a plain scan over all purges would find."""
+"""The purge history returns the same purges as a linear scan over all purges."""
 
 from hypothesis.stateful import invariant, rule
 
@@ -8,12 +8,12 @@
 
 
 class PurgeHistoryMachine(MachineWithClock):
-    """The history finds the purges that a scan over all of them would find.
+    """Compares lookups in the history with a linear scan over all purges.
 
     Attributes:
-        history: A history in which an unknown group matches every group.
-        exact_history: A history in which a group matches itself alone.
-        model: When each purge was recorded and made, by the object or group that it is of.
+        history: A history with an unknown group, to which every group purge applies.
+        exact_history: A history without an unknown group.
+        model: Times of notification and of the purge, by ("object", id) or ("group", number).
     """
 
     def __init__(self):
@@ -58,7 +58,7 @@
 TestPurgeHistoryMachine.settings = MACHINE_SETTINGS
 
 
-def test_too_many_purges_are_merged_into_one_that_holds_for_all():
+def test_too_many_purges_are_merged_into_one_that_applies_to_all_objects():
     history = PurgeHistory(RETENTION, max_records=3)
     for object_id in range(1, 6):
         history.add(object_id, 0, 10 * object_id, START_NS + object_id)
--- a/tests/state/test_purge_index.py
+++ b/tests/state/test_purge_index.py
@@ -1,4 +1,4 @@
-"""The index of purges matches what a plain scan over all items matches."""
+"""The purge index returns the same items as a linear scan over all items."""
 
 from hypothesis import strategies
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -9,11 +9,11 @@
 
 
 class PurgeIndexMachine(RuleBasedStateMachine):
-    """The index matches what a scan over all items matches.
+    """Compares lookups in the index with a linear scan over all items.
 
     Attributes:
-        index: An index in which an unknown group matches every group.
-        exact_index: An index in which a group matches itself alone.
+        index: An index with an unknown group, to which every group purge applies.
+        exact_index: An index without an unknown group.
         items: The object and the group of each item.
     """
 
--- a/tests/state/test_purge_states.py
+++ b/tests/state/test_purge_states.py
@@ -1,4 +1,4 @@
-"""What a purge removes of directory, local cache and open requests: what a plain scan would remove."""
+"""Purges of directory, local cache and open requests remove the same items as a linear scan."""
 
 from collections import OrderedDict
 
@@ -22,7 +22,7 @@
 
 
 class DirectoryMachine(MachineWithClock):
-    """A purge clears what a scan over the whole directory would clear, and changes no order."""
+    """Compares the directory with a linear scan; a purge does not change the order of the entries."""
 
     MAX_ENTRIES = 4
 
@@ -59,7 +59,7 @@
 
 
 class LocalCacheMachine(MachineWithClock):
-    """The cache keeps the objects that a scan over all of them would keep, in the same order of use."""
+    """Compares the cached objects and their order of use with a linear scan over all objects."""
 
     SIZE = 12
 
@@ -118,10 +118,10 @@
 
 
 class OpenRequestsMachine(MachineWithClock):
-    """A purge detaches the cached responses that a scan over all open requests would detach.
+    """Compares the detached cached responses with a linear scan over all open requests.
 
     Attributes:
-        cached: The cached response that each open request should have.
+        cached: The expected cached response of each open request.
     """
 
     def __init__(self):
--- a/tests/state/test_purges_in_progress.py
+++ b/tests/state/test_purges_in_progress.py
@@ -1,6 +1,6 @@
-"""Purges that meet cached responses and attempts in progress. `docs/crossings.md` has a line for each.
+"""Purges that arrive while a cached response or an attempt is in use. `docs/crossings.md` lists each case.
 
-The order of events is forced by test servers that hold and release bytes, and by direct calls.
+The tests force the order of events with test servers that hold and release bytes, and with direct calls.
 """
 
 import json
@@ -24,7 +24,7 @@
 
 
 def test_a_cached_response_is_not_served_after_a_purge_that_came_before_its_use():
-    """The policy gets a cached response with its request, and may use it later, after a failed attempt."""
+    """The policy gets a cached response along with its request, and may use it after a failed attempt."""
     harness = PolicyHarness(local_link_capacity=4.0, freshness_lifetime=60_000 * NS_PER_MS)
     cached = CachedResponse(NS_PER_MS, harness.clock, None)
     served = harness.request(cached=cached, timeout_ms=2500)
@@ -32,7 +32,7 @@
     harness.policy.handle_purge(1, 0, harness.clock)
     harness.clock += 5 * NS_PER_MS
     harness.request(cached=cached)
-    assert harness.attempts  # it is older than the purge
+    assert harness.attempts  # the cached response is older than the purge
     assert harness.actions[-1] == ("serve_cached", served)
 
 
@@ -41,7 +41,7 @@
     [((0x7F3A9C21E0B4D655, 0), False), ((0, 17), False), ((0x7F3A9C21E0B4D656, 0), True), ((0, 18), True)],
 )
 def test_a_purge_detaches_the_cached_response_of_an_open_request(front, purge, served):
-    """A request may wait longer than the policy remembers a purge."""
+    """A request may wait for longer than the policy keeps a purge."""
     front.serve_from_local_cache(100)
     driver = front.policy_driver
     cache = driver.policy.caches[0]
@@ -63,7 +63,7 @@
 
 @pytest.fixture
 def configuration_changes():
-    """Return changes by which caches apply purges within 100 ms, far sooner than a client gives up."""
+    """Return settings changes for a purge deadline of 100 ms, far below the timeout of clients."""
     specifics = FRONT_SETTINGS["Specifics"] | {"ClearedWithin": 100.0}
     settings = FRONT_SETTINGS | {"Specifics": specifics}
     return {"flow_bytes_per_s": 10**6, "link_bytes_per_s": 10**7, "settings": settings}
@@ -74,13 +74,13 @@
     sock = socket.create_connection(listener)
     sock.settimeout(TIMEOUT_SECONDS)
     issued_ms = int(time.time() * 1000)
-    for tag in (1, 2, 3):  # requested more than once, so the front caches it
+    for tag in (1, 2, 3):  # the front caches only objects that are requested repeatedly
         sock.sendall(numbered_request(tag, tag))
         request_id = cache.wait_for_lines(tag).split()[1].encode()
         if tag == 2:
             discovery.sockets[0].sendall(purge_event(3, 17))
             gevent.sleep(0.25)
-            discovery.sockets[0].sendall(purge_event(4, 99))  # with the next one, old purges are forgotten
+            discovery.sockets[0].sendall(purge_event(4, 99))  # a new purge drops expired ones
             gevent.sleep(0.05)
         response = b" HIT entity=4be0c1927d55a6f3,issued=%d 1\r\nx\r\n" % issued_ms
         cache.line_sockets[-1].sendall(request_id + response)
@@ -88,6 +88,6 @@
 
 
 def purge_event(index, group):
-    """Return a line of the discovery service that purges a group now."""
+    """Return a line of the discovery service that purges a group at the present time."""
     event = {"index": index, "evict": {"shard": group, "unix_ms": int(time.time() * 1000)}}
     return json.dumps(event).encode() + b"\n"
--- a/tests/state/test_upstream_registry.py
+++ b/tests/state/test_upstream_registry.py
@@ -1,4 +1,4 @@
-"""The upstreams that discovery has listed."""
+"""The registry of upstreams: endpoint list, roles, and maintenance."""
 
 import pytest
 
@@ -16,9 +16,9 @@
         ("new", UpstreamRole.CACHE),
     ],
 )
-def test_a_listed_kind_has_its_role(front, kind, role):
-    member = Endpoint("s9", ("127.0.0.1", 9), "z", kind, 0, UpstreamState.ACTIVE, 0)
-    update = front.upstreams.apply(EndpointListChange(2, False, [member]))
+def test_an_upstream_has_the_role_of_its_machine_kind(front, kind, role):
+    endpoint = Endpoint("s9", ("127.0.0.1", 9), "z", kind, 0, UpstreamState.ACTIVE, 0)
+    update = front.upstreams.apply(EndpointListChange(2, False, [endpoint]))
     assert [upstream.role for upstream in update.listed] == [role]
 
 
@@ -32,7 +32,7 @@
 FRONT_STARTED_MS = 5000
 
 
-def states(front) -> dict[str, UpstreamState]:
+def upstream_states(front) -> dict[str, UpstreamState]:
     return {id: entry.upstream.state for id, entry in front.upstreams.by_id.items()}
 
 
@@ -45,11 +45,11 @@
     front.apply_endpoints("s3")
     withheld = {"s1": UpstreamState.DRAINING, "s2": UpstreamState.DRAINING, "s3": UpstreamState.DRAINING}
     others = {"later": UpstreamState.ACTIVE, "draining": UpstreamState.DRAINING}
-    assert states(front) == withheld | others
+    assert upstream_states(front) == withheld | others
     events.release_upstreams()
-    assert states(front) == dict.fromkeys(withheld, UpstreamState.ACTIVE) | others
+    assert upstream_states(front) == dict.fromkeys(withheld, UpstreamState.ACTIVE) | others
     front.apply_endpoints("s4")
-    assert states(front)["s4"] is UpstreamState.ACTIVE
+    assert upstream_states(front)["s4"] is UpstreamState.ACTIVE
 
 
 def test_an_upstream_that_is_drained_or_out_of_service_while_it_is_withheld_is_not_released(front):
@@ -62,11 +62,11 @@
     events.take_out_of_service({name_hash(b"out"): 0})
     events.release_upstreams()
     drained = dict.fromkeys(["listed", "gossiped", "out"], UpstreamState.DRAINING)
-    assert states(front) == drained | {"s1": UpstreamState.ACTIVE}
+    assert upstream_states(front) == drained | {"s1": UpstreamState.ACTIVE}
 
 
 def test_an_origin_is_not_withheld(front):
     origin = Endpoint("origin", ("127.0.0.1", 9), "z", "root", 0, UpstreamState.ACTIVE, 0)
     front.upstreams.apply(EndpointListChange(2, False, [origin]))
     front.request_handler.events.withhold_upstreams(FRONT_STARTED_MS)
-    assert states(front) == {"s1": UpstreamState.DRAINING, "origin": UpstreamState.ACTIVE}
+    assert upstream_states(front) == {"s1": UpstreamState.DRAINING, "origin": UpstreamState.ACTIVE}
