--- a/marbleglade/model/policy_protocol.py
+++ b/marbleglade/model/policy_protocol.py
@@ -128,4 +128,4 @@
         """Return the observations of this policy since its start."""
 
     def preferred_upstreams(self, count: int) -> list[list[Upstream]]:
-        """Return the caches in order of preference for each of the most requested objects."""
+        """Return the caches in order of preference for each of the `count` most requested objects."""
--- a/marbleglade/policy/stages/retry.py
+++ b/marbleglade/policy/stages/retry.py
@@ -18,7 +18,7 @@
 
 
 class Retry:
-    """Passes a request to the later stages again while the retry budget and its deadline allow it."""
+    """Passes a request to the later stages again while its deadline and the retry budget allow a retry."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         if request.finished or request.context.response_started:
             return False
         if any(each.result is None for each in request.attempts):
-            return False  # another attempt may still be answered
+            return False  # another attempt may still get a response
         price = self._price(attempt)
         if reason := self._reason_against_retry(attempt, price):
             request.reason = reason.value
--- a/marbleglade/policy/stages/routing.py
+++ b/marbleglade/policy/stages/routing.py
@@ -104,8 +104,8 @@
     ) -> None:
         """Handle a request that no cache can fill in time, or whose fill would overload the origin.
 
-        If only fills are congested, the preferred cache is asked for the object if it is cached there or, as
-        long as the zone's link is reported to have capacity, at a parent. If the cache's own link is
+        If only fills are congested, the preferred cache serves the object if it is cached there or, as long
+        as the zone's link is reported to have capacity, at a parent. If the cache's own link is
         congested, a parent may respond to the request directly.
 
         Args:
--- a/marbleglade/state/purge_history.py
+++ b/marbleglade/state/purge_history.py
@@ -8,7 +8,7 @@
 from ..model.parameters import Parameters
 
 UNKNOWN_GROUP = 256  # stands for "not known": a purge of any group may apply to the object
-MAX_RECORDS = 1 << 16  # one hour of purges at 12 a second, delivered at once, is 43,200
+MAX_RECORDS = 1 << 16  # more than the 43,200 purges of an hour at 12 per second, which may arrive at once
 
 
 def purge_retention(parameters: Parameters) -> int:
--- a/marbleglade/state/upstream_registry.py
+++ b/marbleglade/state/upstream_registry.py
@@ -20,7 +20,7 @@
     """An upstream and its entry in the endpoint list.
 
     Attributes:
-        upstream: The upstream as the policy sees it.
+        upstream: The upstream in the form that the policy uses.
         id: Id of the upstream in the endpoint list.
         address: Host and port.
         started_ms: Time at which its process started, Unix milliseconds; 0 if not known.
--- a/tests/state/test_purge_history.py
+++ b/tests/state/test_purge_history.py
@@ -3,7 +3,7 @@
 from marbleglade.state.purge_history import PurgeHistory
 
 
-def test_purges_are_remembered_for_the_retention():
+def test_purges_are_kept_for_the_retention():
     purges = PurgeHistory(1000)
     purges.add(7, 0, 90, 100)
     purges.add(0, 3, 190, 200)
