--- a/marbleglade/transport/attempt_check.py
+++ b/marbleglade/transport/attempt_check.py
@@ -1,7 +1,7 @@
-"""The check before each attempt: whether it may still be written.
+"""The check just before an attempt is written: whether it may still be sent.
 
-An attempt may wait for its connection. Meanwhile its client may leave, its object be purged, or its cache be
-drained; and events that say so may lie unread on their sockets.
+While an attempt waits for its connection, its client may leave, its object may be purged, or its cache may be
+drained. The events that report this may still be unread on their sockets.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class WithholdReason(Enum):
-    """Why an attempt is not written; the values stand in the log and in names of counters."""
+    """The reasons not to write an attempt; the values appear in the log and in the names of counters."""
 
     CANCELLED = "cancelled"
     CLIENT_LEFT = "client_left"
@@ -32,11 +32,11 @@
 
 
 class AttemptCheck:
-    """Decides just before an attempt is written whether it may still be.
+    """Decides just before an attempt is written whether it may still be sent.
 
     Args:
-        purged_since: Returns whether the object of a request was purged since a moment, ns of `clock`.
-        apply_pending_events: Applies watch events that have reached this machine and lie unread.
+        purged_since: Returns whether the object of a request was purged since a given time of `clock`.
+        apply_pending_events: Applies watch events that have reached this machine but are still unread.
         clock: The monotonic clock, ns.
         guard: Counts and logs what fails.
     """
@@ -56,10 +56,10 @@
         self._log = guard.log
 
     def apply_pending(self, client_request: ClientRequest | None = None) -> None:
-        """Apply events that may forbid an attempt and have arrived, but are not read yet.
+        """Apply events that have arrived but are still unread, as they may forbid an attempt.
 
-        Each attempt and load report request passes here just before it is written, since the process may
-        have been held up after the loop's last poll.
+        Called just before each attempt and load report request is written, since the process may have been
+        delayed after the last poll of the event loop.
         """
         self._guard.call("pending_events", self._apply_pending_events)
         if client_request and client_request.check_client_end:
@@ -68,7 +68,7 @@
     def reason_to_withhold(
         self, in_flight: InFlightRequest, attempt: Attempt, connection: UpstreamConnection
     ) -> WithholdReason | None:
-        """Return why an attempt must not be written any more; None if it may be."""
+        """Return the reason why an attempt must not be written any more, or None if it may be written."""
         request = attempt.request
         if in_flight.result.ready() or request.finished:
             return WithholdReason.CANCELLED
@@ -80,9 +80,10 @@
             return WithholdReason.UPSTREAM_DRAINING
         if attempt.fill_source.state is not UpstreamState.ACTIVE:
             return WithholdReason.SOURCE_DRAINING
-        if connection.pool.stale:  # the cache moved or restarted in an event that was applied just now
+        if connection.pool.stale:  # an event just applied says that the cache moved or restarted
             return WithholdReason.CONNECTION_STALE
-        # The deduplication window may have ended while the connection was opened: a repeat would run twice.
+        # The deduplication window may have ended while the connection was being opened. A retry after it
+        # would not be recognized as a duplicate, and the request would run twice.
         if not request.may_send_attempt(self._clock(), attempt):
             return WithholdReason.DEDUPLICATION_WINDOW_OVER
         return None
--- a/marbleglade/transport/attempt_message.py
+++ b/marbleglade/transport/attempt_message.py
@@ -1,4 +1,4 @@
-"""The message of an attempt, as it is sent to a cache, a parent or the origin."""
+"""Builds the message that sends an attempt to a cache, a parent or the origin."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from ..runtime.units import MILLISECOND_NS
 from ..state.decisions import AttemptOrder
 
-SHORTEST_MAX_AGE_MS = 1  # a limit below a millisecond: 0 would set none
+MIN_MAX_AGE_MS = 1  # for limits below a millisecond, as 0 on the wire means the default
 
 
 def max_age_ms(client_request: ClientRequest, order: AttemptOrder) -> int:
-    """Return the `max_age` that policy and client together set, ms; 0 is `DEFAULT_MAX_AGE`."""
+    """Return the stricter `max_age` of policy and client, ms; 0 stands for `DEFAULT_MAX_AGE`."""
     max_age = stricter_max_age(order.max_age, client_request.max_age_ns)
     if max_age == DEFAULT_MAX_AGE:
         return DEFAULT_MAX_AGE
-    return max(SHORTEST_MAX_AGE_MS, max_age // MILLISECOND_NS)
+    return max(MIN_MAX_AGE_MS, max_age // MILLISECOND_NS)
 
 
 def attempt_message(
@@ -25,10 +25,10 @@
     """Return the message of an attempt.
 
     Args:
-        client_request: What the client sent.
+        client_request: The request of the client.
         order: The policy's order to send the attempt.
-        fill_source: Id of the upstream that fills a miss; empty: a miss is not filled.
-        time_left: The time that the attempt has, ns.
+        fill_source: Id of the upstream from which a miss is filled; empty: a miss is not filled.
+        time_left: Time until the attempt times out, ns.
     """
     return UpstreamRequest(
         id=client_request.trace_id,
--- a/marbleglade/transport/attempt_sender.py
+++ b/marbleglade/transport/attempt_sender.py
@@ -1,4 +1,4 @@
-"""What a request handler needs of whatever sends its attempts.
+"""The interface through which a request handler sends attempts.
 
 `UpstreamClient` sends them to caches, parents and the origin; a gateway's `Requester` sends them to the
 gateways of another region.
@@ -17,11 +17,11 @@
 
 
 class AttemptSender(Protocol):
-    """Sends attempts and load report requests, and blocks until they have ended."""
+    """Sends attempts and load report requests, and blocks until each has ended."""
 
     @property
     def body_budget(self) -> BodyBudget:
-        """Bytes of response bodies in memory."""
+        """The budget for response bodies in memory."""
 
     @property
     def in_flight(self) -> Counter[Upstream]:
@@ -31,13 +31,13 @@
         """Send an attempt and block until it has ended."""
 
     def request_load_report(self, upstream: Upstream, timeout: int) -> dict[str, float]:
-        """Request an upstream's load report; empty if none came within `timeout` ns."""
+        """Return an upstream's load report, or an empty one if none was received within `timeout` ns."""
 
     def release_body(self, result: UpstreamResult) -> None:
-        """Return the bytes of a result's body to the budget."""
+        """Release the bytes of a response's body from the body budget."""
 
     def drop_connections(self, upstreams: list[Upstream]) -> None:
-        """Use no connection again to upstreams that are gone, have moved or have restarted."""
+        """Stop reusing connections to upstreams that were removed, have moved or have restarted."""
 
     def connections(self, upstream: Upstream) -> int:
         """Return the number of connections to an upstream."""
--- a/marbleglade/transport/buffer_usage.py
+++ b/marbleglade/transport/buffer_usage.py
@@ -1,14 +1,14 @@
-"""How many bytes are buffered for all clients together, and their bound."""
+"""The number of bytes that are buffered for all clients together, and its limit."""
 
 from __future__ import annotations
 
 
 class BufferUsage:
-    """Counts partial frames, bodies of requests, and responses that wait for their reader.
+    """Counts the bytes of partial frames, request bodies, and responses that wait to be written.
 
     Attributes:
-        used: Bytes that are buffered now; each part subtracts what it has added.
-        limit: The bound, in bytes.
+        used: Bytes buffered now; whoever adds bytes subtracts them when they are freed.
+        limit: The most bytes that may be buffered.
     """
 
     __slots__ = ("limit", "used")
--- a/marbleglade/transport/cache_server.py
+++ b/marbleglade/transport/cache_server.py
@@ -1,4 +1,4 @@
-"""Server side of the caches' protocol: fronts and parents use this process as a cache or the origin."""
+"""Server side of the cache protocol, by which fronts and parents use this process as a cache or origin."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 from .request_service import RequestService, RequestT
 from .sockets import READ_BUFFER, accept_forever, has_unread_bytes, read_chunks, set_options
 
-MAX_OPEN_REQUESTS = 256  # of one connection
-PARTIAL_TIMEOUT_DIVISOR = 8  # of the idle time-out, for the rest of a partial request
-IMMEDIATE_WRITE_NS = 2 * SECOND_NS  # for a client to take a response that has no request's deadline
+MAX_OPEN_REQUESTS = 256  # on one connection
+PARTIAL_TIMEOUT_DIVISOR = 8  # the rest of a partial request has to arrive within 1/8 of the idle time-out
+IMMEDIATE_WRITE_NS = 2 * SECOND_NS  # time-out for writing a response that belongs to no open request
 
 
 class CountedRequestService(RequestService[RequestT], Sized, Protocol[RequestT]):
@@ -41,20 +41,20 @@
 
 
 class CacheServer(Generic[RequestT]):
-    """Accepts connections, reads requests from them, and sends the responses.
+    """Accepts connections, reads requests from them and writes the responses.
 
     Args:
         service: Handles the requests.
-        unknown_group: The purge group of requests, as this protocol does not name any.
-        max_connections: Connections open at a time; further ones are closed.
-        idle_timeout: Time in ns after which an idle connection is closed.
-        accepts_requests: Returns whether new requests are accepted; else health checks say so, too.
+        unknown_group: The purge group given to all requests, as this protocol has no field for it.
+        max_connections: The most connections open at a time; further ones are closed at once.
+        idle_timeout: Time after which an idle connection is closed, ns.
+        accepts_requests: Returns whether new requests are accepted; if not, health checks report unhealthy.
         guard: Counts and logs what fails.
-        loop: The monitored event loop; None: a monitor that does not run.
+        loop: The monitor of the event loop; None: a monitor that does not run.
 
     Attributes:
         connections: The open connections.
-        idle_timeout: As in the arguments, ns.
+        idle_timeout: Time after which an idle connection is closed, ns.
     """
 
     def __init__(
@@ -86,13 +86,13 @@
             self._service.clock_resolution / SECOND_NS,
             self._accept_failed,
             self._guard,
-            self._accepted,
+            self._start_connection,
         )
 
     def _accept_failed(self) -> None:
         self._counters.add("cache_server.accept_failed")
 
-    def _accepted(self, sock: socket.socket) -> None:
+    def _start_connection(self, sock: socket.socket) -> None:
         if len(self.connections) >= self._max_connections:
             self._counters.add("cache_server.over_connection_limit")
             sock.close()
@@ -111,7 +111,7 @@
             idle = now - connection.active_at > self.idle_timeout
             partial_since = connection.partial_since
             stalled = partial_since and now - partial_since > self.idle_timeout // PARTIAL_TIMEOUT_DIVISOR
-            if (idle or stalled) and not has_unread_bytes(connection.sock):  # else a request may have arrived
+            if (idle or stalled) and not has_unread_bytes(connection.sock):  # a request may be unread
                 self._close(connection)
 
     def _read(self, connection: CacheServerConnection[RequestT]) -> None:
@@ -123,7 +123,7 @@
                     if connection.closed:
                         return
                     self._handle(connection, event)
-                connection.record_read()
+                connection.update_partial_since()
                 connection.arrivals.start_waiting()
         except InvalidLineError:
             self._counters.add("cache_server.bad_line")
@@ -166,11 +166,11 @@
 
     def _handle_request(self, connection: CacheServerConnection[RequestT], request: UpstreamRequest) -> None:
         if request.id in connection.open_requests:
-            raise InvalidLineError("an id that is open already")
+            raise InvalidLineError(f"id {request.id} belongs to a request that is still open")
         request_class = self._service.request_classes.get(request.class_name)
         if request_class is None or request.timeout_ms * MILLISECOND_NS > 2 * request_class.client_timeout:
             self._reject_invalid(connection, request.id)
-        elif request.only_if_cached:  # a gateway is no cache: it holds nothing that it alone could return
+        elif request.only_if_cached:  # a gateway is no cache: it has no objects of its own
             self._send(connection, encode_response(request.id, CacheStatus.MISSING, {}))
         elif (
             len(connection.open_requests) >= MAX_OPEN_REQUESTS
@@ -189,9 +189,9 @@
         request: UpstreamRequest,
         request_class: RequestClass,
     ) -> ClientRequest:
-        """Return a request as if it came from a client; its id takes the place of the trace id."""
+        """Convert a request to the form of a client's request; its id becomes the trace id."""
         return ClientRequest(
-            tag=0,  # of the clients' protocol alone
+            tag=0,  # used only by the client protocol
             request_class=request_class,
             class_name=request.class_name,
             trace_id=request.id,
@@ -208,7 +208,7 @@
         )
 
     def _run(self, connection: CacheServerConnection[RequestT], client_request: ClientRequest) -> None:
-        """Admit a request and respond to it, at once or from a greenlet."""
+        """Admit a request and respond to it, immediately or from a greenlet."""
         request = self._service.admit(client_request)
         connection.open_requests[client_request.trace_id] = request
         client_request.check_client_end = partial(self._check_client_end, connection, client_request.trace_id)
@@ -222,7 +222,7 @@
             )
 
     def _check_client_end(self, connection: CacheServerConnection[RequestT], request_id: str) -> None:
-        """Abandon a request whose client has closed its side, even if that was not read yet."""
+        """Abandon a request if its client has closed its side, even if the end was not read yet."""
         if request_id in connection.open_requests and peer_has_closed(connection.sock):
             self._abandon(connection, request_id)
 
@@ -255,14 +255,18 @@
         response: bytes,
         time_left: int = IMMEDIATE_WRITE_NS,
     ) -> None:
-        """Write a response; a client that does not take it in `time_left` ns finds the connection closed."""
+        """Write a response; close the connection if the client does not take it within `time_left` ns."""
         limit = TimeLimit(self._loop, clock.now() + max(time_left, MILLISECOND_NS))
         if not connection.send(response, limit):
             self._close(connection)
 
 
 def _encode(request_id: str, response: Response, idempotent: bool) -> bytes:
-    """Return a response as a cache sends it; a status that proves that nothing ran only if that is so."""
+    """Return the bytes of a response in the cache protocol.
+
+    The statuses REJECTED and MISSING tell the client that nothing was run. For a non-idempotent request they
+    are sent only if that is certain.
+    """
     if response.outcome is RequestOutcome.SERVED:
         fields = {"entity": response.entity_tag, "issued": str(response.issued_ms)}
         if response.not_modified:
--- a/marbleglade/transport/cache_server_connection.py
+++ b/marbleglade/transport/cache_server_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client that uses this process as a cache, by the protocol of caches."""
+"""One connection of a client that uses this process as a cache, through the cache protocol."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
     Args:
         sock: The accepted socket.
-        arrivals: Bounds when what lies unread has arrived.
+        arrivals: Bounds the arrival time of unread bytes.
 
     Attributes:
-        decoder: Decodes what arrives.
-        earliest_arrival: The earliest moment at which what was read last may have arrived, ns.
-        open_requests: By the client's id for each.
-        active_at: When something was last read, ns.
-        partial_since: Since when the rest of a request is waited for, ns; 0: no request is partial.
-        closed: It was closed on this side.
+        decoder: Decodes the received bytes.
+        earliest_arrival: The earliest moment at which the bytes read last may have arrived, ns.
+        open_requests: The open requests by the id that the client chose.
+        active_at: When bytes were last read, ns; at first, when the connection was accepted.
+        partial_since: When a read first left a request incomplete, ns; 0: no request is incomplete.
+        closed: This side has closed the connection.
     """
 
     def __init__(self, sock: socket.socket, arrivals: ArrivalBound) -> None:
@@ -42,8 +42,8 @@
         self.closed = False
         self._write_lock = Semaphore()
 
-    def record_read(self) -> None:
-        """Update `partial_since` after the requests that were read."""
+    def update_partial_since(self) -> None:
+        """Update `partial_since` after the requests of a read were handled."""
         if self.decoder.has_partial_request:
             self.partial_since = self.partial_since or self.active_at
         else:
@@ -52,7 +52,7 @@
     def send(self, response: bytes, limit: TimeLimit) -> bool:
         """Write a response; return False if the client did not take it in time or the connection failed.
 
-        Responses of several greenlets are written one after the other.
+        Responses from several greenlets are written one after the other.
         """
         if not acquire_within(self._write_lock, limit):
             return False
--- a/marbleglade/transport/connection_pool.py
+++ b/marbleglade/transport/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: opened, reused, shared once descriptors run out, and closed."""
+"""A pool of connections to upstreams: opens, reuses and closes them, and shares them at the limit."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from .sockets import connect_within, has_ended, set_options
 from .upstream_connection import EndpointPool, UpstreamConnection, UpstreamResult
 
-SHARING_CANDIDATES = 16  # connections among which the one with the fewest requests in flight is shared
+SHARING_CANDIDATES = 16  # connections compared when one is shared; the one with the fewest requests is taken
 
 
 class PoolLimits(NamedTuple):
@@ -26,9 +26,9 @@
 
     Attributes:
         max_connections: Connections to all upstreams together.
-        connect_timeout: In ns.
-        idle_timeout: Time in ns after which upstreams close an idle connection; 0: never.
-        max_streams: The most requests that share one connection.
+        connect_timeout: Time-out of connecting, ns.
+        idle_timeout: Time after which upstreams close an idle connection, ns; 0: never.
+        max_streams: The most requests in flight on a shared connection.
     """
 
     max_connections: int
@@ -40,19 +40,19 @@
 class ConnectionPool:
     """The connections to all upstreams.
 
-    A request has a connection to itself, so that a broken one fails no other request. Once `max_connections`
-    are open, requests share connections.
+    Each request has a connection of its own, so that a broken connection fails only one request. Once
+    `max_connections` are open, requests share connections.
 
     Args:
-        upstreams: Addresses of the known upstreams.
-        body_budget: Gets back what a closed connection had reserved.
+        upstreams: The known upstreams with their addresses.
+        body_budget: The budget to which a closed connection returns its reserved bytes.
         limits: Bounds of the connections.
         clock: The monotonic clock, ns.
         counters: Counts connections opened, reused, shared and closed.
         read: Reads the responses of a new connection until it ends; runs in a greenlet.
 
     Attributes:
-        max_connections: As in `limits`.
+        max_connections: The limit on connections to all upstreams together.
         by_upstream: The connections to each upstream.
         connection_count: Connections that are open or being opened.
     """
@@ -79,21 +79,21 @@
         self._read = read
 
     def take_idle(self, upstream: Upstream, request_id: str) -> UpstreamConnection | None:
-        """Take the connection that became idle last, of those on which `request_id` is unambiguous."""
+        """Take the most recently used idle connection on which `request_id` is unambiguous."""
         pool = self.by_upstream.get(upstream)
         if pool is None:
             return None
-        useless: list[UpstreamConnection] = []
+        unusable: list[UpstreamConnection] = []
         found: UpstreamConnection | None = None
         for connection in reversed(pool.idle):
-            # On a connection that the upstream has closed, or on which a part of an unexpected response has
-            # arrived, a request would fail, and a non-idempotent one could not be retried.
+            # A request would fail on a connection that the upstream has closed or on which part of an
+            # unexpected response has arrived, and a non-idempotent request could not be retried.
             if connection.decoder.has_partial_response or has_ended(connection.sock):
-                useless.append(connection)
+                unusable.append(connection)
             elif connection.is_unambiguous(request_id):
                 found = connection
                 break
-        for connection in useless:
+        for connection in unusable:
             self.close(connection)
         if found:
             del pool.idle[found]
@@ -101,7 +101,7 @@
         return found
 
     def acquire(self, upstream: Upstream, request_id: str) -> UpstreamConnection | AttemptResult:
-        """Return an idle, new or shared connection, or the result of an attempt that can't have one."""
+        """Return an idle, new or shared connection, or the attempt's result if none is available."""
         endpoint = self._upstreams.get(upstream)
         if endpoint is None:
             return AttemptResult.CANCELLED
@@ -119,8 +119,8 @@
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             set_options(sock, [(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)], self._option_failed)
             connect_within(sock, address, self._connect_timeout / SECOND_NS)
-            # Readers of other sockets that became ready in the same turn of the loop run first: one may read
-            # that the client of this request has left.
+            # Let readers of other sockets that became ready in the same loop iteration run first: one of them
+            # may find that the client of this request has left.
             gevent.sleep(0)
         except BaseException as error:
             self.connection_count -= 1
@@ -140,10 +140,14 @@
         self._counters.add("upstream.option_failed")
 
     def _share(self, pool: EndpointPool, request_id: str) -> UpstreamConnection | None:
-        """Return the connection with the fewest requests in flight, of the next few with room for another."""
+        """Return a connection that can take one more request, or None if there is none.
+
+        Of the next few candidates it is the one with the fewest requests in flight; a connection that has not
+        responded since a cancel comes last.
+        """
         candidates: list[UpstreamConnection] = []
         for connection in list(itertools.islice(pool.connections, 4 * SHARING_CANDIDATES)):
-            del pool.connections[connection]  # moved to the end: the others are looked at before it again
+            del pool.connections[connection]  # move it to the end, so that calls rotate over all connections
             pool.connections[connection] = None
             if (
                 connection.is_unambiguous(request_id)
@@ -161,7 +165,7 @@
         return min(candidates, key=lambda connection: (connection.unanswered, len(connection.in_flight)))
 
     def _close_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest, to whichever upstream; False if none is idle."""
+        """Close the longest idle connection of all upstreams; return False if no connection is idle."""
         idle = [connection for pool in self.by_upstream.values() for connection in pool.idle]
         if not idle:
             return False
@@ -169,18 +173,19 @@
         return True
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Keep a connection for the next request if nothing is in flight on it."""
+        """Make a connection available for the next request if it has no request in flight."""
         connection.idle_since = self._clock()
         if connection.in_flight or connection.closed:
             return
-        # A request that was answered before it was written in full: nobody waits for the rest of it.
+        # A running writer means that the request was answered before it was written in full. The connection
+        # can't be reused before the rest is written, which no longer serves any request.
         if connection.pool.stale or connection.writer_running:
             self.close(connection)
         else:
             connection.pool.idle.setdefault(connection)
 
     def close(self, connection: UpstreamConnection) -> None:
-        """Close a connection; what is in flight on it ends as reset."""
+        """Close a connection; its requests in flight end as reset."""
         if connection.closed:
             return
         connection.closed = True
@@ -199,7 +204,7 @@
                 request.result.set(UpstreamResult(AttemptResult.RESET))
 
     def close_stale(self, upstreams: list[Upstream]) -> None:
-        """Close the idle connections to upstreams that are gone, have moved or have restarted."""
+        """Mark the pools of removed, moved or restarted upstreams as stale; close their idle connections."""
         for upstream in upstreams:
             pool = self.by_upstream.pop(upstream, None)
             if pool:
@@ -208,7 +213,7 @@
                     self.close(connection)
 
     def close_idle(self) -> None:
-        """Close what was idle for half of the time after which the upstream would close it."""
+        """Close connections that were idle for more than half of the upstreams' idle time-out."""
         for pool in self.by_upstream.values():
             for connection in [
                 idle for idle in pool.idle if (self._clock() - idle.idle_since) * 2 > self._idle_timeout > 0
--- a/marbleglade/transport/half_close.py
+++ b/marbleglade/transport/half_close.py
@@ -1,4 +1,4 @@
-"""Whether the peer has closed its side of a connection, also where bytes that came before lie unread."""
+"""Detects that the peer has closed its side of a connection, even behind bytes that are still unread."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class UnreadInput(NamedTuple):
-    """What lies unread on a connection.
+    """The state of a connection's input that was not read yet.
 
     Attributes:
         ended: The peer has closed its side or reset the connection.
-        readable: There are bytes, or may be.
+        readable: There are, or may be, unread bytes.
     """
 
     ended: bool
@@ -27,22 +27,22 @@
 
 
 def unread_input(sock: socket.socket) -> UnreadInput:
-    """Return what a read would find; never blocks and reads nothing.
+    """Return the state of the unread input; never blocks and reads nothing.
 
-    A read shows the end only behind all bytes that came before it, which may take long to process. If poll
-    fails, there may be bytes, and no end is known of.
+    A read finds the end only after all bytes before it, which may take long to process. If poll fails, the
+    result is that there may be unread bytes and that the end was not seen.
     """
-    if sock.fileno() < 0:  # closed by this side
+    if sock.fileno() < 0:  # closed on this side
         return UnreadInput(ended=True, readable=False)
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLRDHUP | select.POLLIN)
     try:
-        found = poll.poll(0)
+        poll_results = poll.poll(0)
     except OSError:
         return UNKNOWN_INPUT
-    if not found:
+    if not poll_results:
         return NO_INPUT
-    _, events = found[0]
+    _, events = poll_results[0]
     return UnreadInput(ended=bool(events & CLOSED_EVENTS), readable=bool(events & select.POLLIN))
 
 
--- a/marbleglade/transport/request_dispatcher.py
+++ b/marbleglade/transport/request_dispatcher.py
@@ -1,4 +1,4 @@
-"""Handles the messages of clients: passes requests to their handler, and the responses to the writer."""
+"""Handles the messages of clients: passes requests to the request service, and responses to the writer."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
 )
 from .response_writer import ResponseWriter
 
-MAX_OPEN_REQUESTS = 32  # the protocol's bound on one connection
-MAX_CONSECUTIVE_UNSERVED = 32  # rejected or unusable messages in a row; correct clients have far fewer
+MAX_OPEN_REQUESTS = 32  # limit of the protocol for one connection
+MAX_CONSECUTIVE_UNSERVED = 32  # rejected or unusable messages in a row; correct clients send far fewer
 
 
 class RequestDispatcher(Generic[RequestT]):
-    """Handles one message after the other.
+    """Handles the messages of each client one after the other.
 
     Args:
         service: Handles the requests.
-        connections: Closes connections; counts the bytes that are buffered for them.
+        connections: Closes connections, and counts the bytes that are buffered for them.
         writer: Writes the responses.
-        end_detector: Applies cancels and the ends of clients.
-        is_ready: Returns whether clients are told that new requests are accepted.
-        response_slack: How much later than its deadline a response may be written, ns.
+        end_detector: Handles cancels, and detects clients that have closed their side.
+        is_ready: Returns whether a status query is answered with "ready", that is, new requests are accepted.
+        response_slack: Time after the deadline of a request until which its response may be written, ns.
         clock: The monotonic clock, ns.
-        guard: Records exceptions; has the log and the counters.
+        guard: Records exceptions, and provides the log and the counters.
     """
 
     def __init__(
@@ -80,10 +80,10 @@
         self._trace_ids = RecentTraceIds(longest_timeout)
 
     def dispatch(self, client: ClientConnection[RequestT], received: ReceivedMessage) -> None:
-        """Handle a message. One that raises an exception is answered as failed; others are not affected.
+        """Handle a message. If handling it raises an exception, only this message is answered as failed.
 
         Raises:
-            InvalidFrameError: The connection has to be closed.
+            InvalidFrameError: The message violates the protocol: the connection has to be closed.
         """
         try:
             self._handle(client, received)
@@ -93,33 +93,34 @@
             self._guard.record("message", error)
             message = decode_message(received.strings, self._request_classes)
             if not isinstance(message, Cancel):
-                self._respond_failed(client, message.tag)
+                self._queue_failed(client, message.tag)
 
     def _handle(self, client: ClientConnection[RequestT], received: ReceivedMessage) -> None:
         message = decode_message(received.strings, self._request_classes)
         if not isinstance(message, Cancel) and message.tag in client.open_requests:
-            raise InvalidFrameError("a tag that is open already")  # any response to it would be a second one
+            # The client could not tell the responses to the two requests apart.
+            raise InvalidFrameError(f"tag {message.tag} belongs to a request that is still open")
         if isinstance(message, ClientRequest):
             self._handle_request(client, message, received.earliest_arrival)
         elif isinstance(message, Cancel):
             self._end_detector.cancel(client, message.tag)
         elif isinstance(message, StatusQuery):
-            self._respond_now(client, message.tag, STATUS_READY if self._is_ready() else STATUS_NOT_READY)
+            self._queue_response(client, message.tag, STATUS_READY if self._is_ready() else STATUS_NOT_READY)
         else:
             self._counters.add("client.unusable")
-            self._respond_unserved(client, message.tag, STATUS_FAILED)
+            self._queue_unserved(client, message.tag, STATUS_FAILED)
 
     def _handle_request(
         self, client: ClientConnection[RequestT], request: ClientRequest, earliest_arrival: int
     ) -> None:
         if not self._trace_ids.is_new(request.trace_id, client.active_at):
             self._counters.add("request.repeated_trace")
-            self._respond_unserved(client, request.tag, STATUS_FAILED)
+            self._queue_unserved(client, request.tag, STATUS_FAILED)
             return
         client.has_sent_request = True
         if len(client.open_requests) >= MAX_OPEN_REQUESTS:
             self._counters.add("request.rejected_at_admission")
-            self._respond_unserved(client, request.tag, STATUS_REJECTED)
+            self._queue_unserved(client, request.tag, STATUS_REJECTED)
             return
         client.consecutive_unserved = 0
         request.received_at = arrival_time(earliest_arrival, self._clock())
@@ -130,12 +131,12 @@
             self._counters.add("request.rejected_at_admission")
             if self._log.debug_on:
                 self._log.debug("finished", trace=request.trace_id, outcome="REJECTED", reason="no room")
-            self._respond_now(client, request.tag, STATUS_REJECTED)
+            self._queue_response(client, request.tag, STATUS_REJECTED)
             return
         self._start(client, request)
 
     def _start(self, client: ClientConnection[RequestT], request: ClientRequest) -> None:
-        """Submit a request; unless it is decided at once, it goes on in a greenlet of its own."""
+        """Admit a request; answer it immediately if possible, otherwise run it in a greenlet of its own."""
         admitted = client.open_requests[request.tag] = self._service.admit(request)
         response = self._service.answer_immediately(request, admitted)
         if response:
@@ -151,7 +152,7 @@
             self._end_detector.request_half_closed(admitted)
 
     def _run(self, client: ClientConnection[RequestT], request: ClientRequest, admitted: RequestT) -> None:
-        """Run a request until it has ended, and write its response."""
+        """Run a request until it has ended; `_respond` writes its response."""
         self._buffers.used += len(request.body)
         try:
             self._service.run(
@@ -160,7 +161,7 @@
         except Exception as error:
             self._guard.record("answer", error)
             if client.open_requests.get(request.tag) is admitted:
-                self._respond_failed(client, request.tag)
+                self._queue_failed(client, request.tag)
                 self._writer.flush(client)
         finally:
             self._buffers.used -= len(request.body)
@@ -168,27 +169,27 @@
     def _respond(
         self, client: ClientConnection[RequestT], tag: int, admitted: RequestT, response: Response
     ) -> None:
-        """Write a response, unless its client has left or cancelled meanwhile."""
+        """Write a response unless its client has left or cancelled the request meanwhile."""
         time_left = admitted.deadline + self._response_slack - self._clock()
         data = self._encoder.encode(tag, response)
         if self._writer.write(client, data, time_left, lambda: client.open_requests.get(tag) is admitted):
             client.open_requests.pop(tag, None)
         self._connections.close_if_finished(client)
 
-    def _respond_now(self, client: ClientConnection[RequestT], tag: int, status: bytes) -> None:
-        """Respond from the reader; it is written with the other responses of the reader."""
+    def _queue_response(self, client: ClientConnection[RequestT], tag: int, status: bytes) -> None:
+        """Queue a status response, which is written together with the other immediate responses."""
         client.immediate_responses += self._encoder.encode_status(tag, status)
 
-    def _respond_unserved(self, client: ClientConnection[RequestT], tag: int, status: bytes) -> None:
-        """Respond to a message that is rejected or unusable; too many in a row end the connection."""
+    def _queue_unserved(self, client: ClientConnection[RequestT], tag: int, status: bytes) -> None:
+        """Queue the response to a rejected or unusable message; too many in a row end the connection."""
         client.consecutive_unserved += 1
-        self._respond_now(client, tag, status)
+        self._queue_response(client, tag, status)
         if client.consecutive_unserved > MAX_CONSECUTIVE_UNSERVED:
-            raise InvalidFrameError("too many messages in a row that can't be used")
+            raise InvalidFrameError(f"more than {MAX_CONSECUTIVE_UNSERVED} messages in a row were not served")
 
-    def _respond_failed(self, client: ClientConnection[RequestT], tag: int) -> None:
-        """Respond to a request that an exception keeps from being run, and forget it."""
+    def _queue_failed(self, client: ClientConnection[RequestT], tag: int) -> None:
+        """Queue the response to a message whose handling raised an exception; abandon its request if open."""
         admitted = client.open_requests.pop(tag, None)
         if admitted is not None:
             self._guard.call("abandon_request", self._service.abandon_request, admitted)
-        self._respond_now(client, tag, STATUS_FAILED)
+        self._queue_response(client, tag, STATUS_FAILED)
--- a/marbleglade/transport/response_reader.py
+++ b/marbleglade/transport/response_reader.py
@@ -1,4 +1,4 @@
-"""Reads responses from connections to upstreams, within the budget for bodies in memory."""
+"""Reads responses from connections to upstreams, within the budget for response bodies in memory."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     CacheStatus.FAILED: AttemptResult.ERROR,
     CacheStatus.NOT_STARTED: AttemptResult.NOT_STARTED,
     CacheStatus.HEALTHY: AttemptResult.OK,
-    CacheStatus.UNHEALTHY: AttemptResult.OK,  # the load report came
+    CacheStatus.UNHEALTHY: AttemptResult.OK,  # the response still contains the load report
 }
 
 
@@ -28,8 +28,8 @@
     """Passes each response to the request that waits for it.
 
     Args:
-        pool: Gets connections back once they are free, and closes those that failed.
-        body_budget: Bytes of response bodies in memory.
+        pool: The pool to which free connections are released, and which closes failed ones.
+        body_budget: The budget for response bodies in memory.
         guard: Counts and logs what fails.
     """
 
@@ -38,7 +38,7 @@
         self._guard, self._counters = guard, guard.counters
 
     def run(self, connection: UpstreamConnection) -> None:
-        """Read a connection until it ends, and close it."""
+        """Read responses from a connection until it ends, then close it."""
         try:
             for data in read_chunks(connection.sock):
                 for response in connection.decoder.feed(data):
@@ -55,7 +55,11 @@
             self._pool.close(connection)
 
     def _reserve_missing(self, connection: UpstreamConnection) -> bool:
-        """Wait until the budget has room for the body being read; False if the connection was closed."""
+        """Reserve budget for the body that is being read, and wait until enough is free.
+
+        Returns:
+            False if the connection was closed meanwhile.
+        """
         missing = connection.decoder.body_size - connection.reserved_bytes
         if missing <= 0:
             return True
@@ -74,12 +78,12 @@
         """Pass a response to its request.
 
         Raises:
-            InvalidLineError: It does not match the request of that id.
+            InvalidLineError: The response does not match the request with its id.
         """
         size = len(response.body)
         connection.unanswered = False
         connection.reserved_bytes -= size
-        if connection.reserved_bytes < 0:  # the body came in one read, before anything was reserved for it
+        if connection.reserved_bytes < 0:  # the body arrived in one read, before budget was reserved
             self._body_budget.reserve_unconditionally(-connection.reserved_bytes)
             connection.reserved_bytes = 0
         request = connection.in_flight.pop(response.id, None)
@@ -91,7 +95,7 @@
         if not response.answers(request.is_load_report_request, request.cached_etag, request.cacheable):
             connection.in_flight[request.id] = request
             self._body_budget.release(size)
-            raise InvalidLineError("not a response to what was asked")
+            raise InvalidLineError(f"{response.status} is no valid response to request {response.id}")
         self._counters.add(f"upstream.{response.status}")
         request.connection, connection.last_answered = None, request.id
         if request.result.ready():
--- a/marbleglade/transport/sockets.py
+++ b/marbleglade/transport/sockets.py
@@ -1,4 +1,7 @@
-"""Socket calls that all connections share: accept, connect, read, write; transient errors are retried."""
+"""Socket calls shared by all connections: listen, accept, connect, read and write, with retries.
+
+Reads and writes that fail with a transient error are retried.
+"""
 
 from __future__ import annotations
 
@@ -14,15 +17,15 @@
 from ..runtime.json_log import Log
 from ..runtime.units import SECOND_NS
 
-# Shared by all readers: its bytes have to be processed before another greenlet runs.
+# Shared by all readers: a reader has to process the bytes in it before another greenlet runs.
 READ_BUFFER = memoryview(bytearray(1 << 16))
-CALLS_PER_TURN = 32  # reads of one connection, or messages, before other greenlets run
-# Errors that say nothing of the connection: the machine had no memory or buffer for the call just then.
+CALLS_PER_TURN = 32  # reads or messages of one connection after which the greenlet yields to the others
+# Errors that do not affect the connection: the kernel had no memory or buffer for the call at that moment.
 TRANSIENT_ERRORS = frozenset({errno.ENOBUFS, errno.ENOMEM})
-RETRY_PAUSE_S = 0.002  # before such a call is made again
-MAX_RETRIES = 500  # in a row
+RETRY_PAUSE_S = 0.002  # pause before a call is retried after a transient error
+MAX_RETRIES = 500  # consecutive retries of one call
 BIND_RETRY_PAUSE_S = 0.05
-# How long a program waits for an address that is taken: the process before it ends within 3.7 s.
+# How long a process retries to bind an address in use: the previous process ends within 3.7 s.
 MAX_BIND_WAIT_NS = 8 * SECOND_NS
 
 SocketOption = tuple[int, int, int]  # level, name, value
@@ -35,17 +38,17 @@
     on_failure: Callable[[OSError, int], None],
     max_wait_ns: int = MAX_BIND_WAIT_NS,
 ) -> None:
-    """Listen at an address; while it is in use, or the call fails, it is tried again.
+    """Listen at an address; retry while the address is in use or binding fails for another reason.
 
     Args:
-        listener: A TCP socket that is not bound.
+        listener: An unbound TCP socket.
         address: Host and port.
-        backlog: Connections that may wait to be accepted.
-        on_failure: Called with the error of each failure and how many there were before; it may raise.
-        max_wait_ns: How long it is tried, nanoseconds.
+        backlog: The most connections that may wait to be accepted.
+        on_failure: Called after each failure with the error and the number of earlier failures; it may raise.
+        max_wait_ns: How long binding is retried, ns.
 
     Raises:
-        OSError: It was not possible for that long.
+        OSError: Binding still failed after `max_wait_ns`.
     """
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     deadline = clock.now() + max_wait_ns
@@ -62,19 +65,19 @@
 
 
 def open_listener(address: tuple[str, int], backlog: int, log: Log) -> socket.socket:
-    """Return a socket that listens at an address, with retries; the first failure is logged.
+    """Return a socket that listens at an address. Failures are retried, and the first one is logged.
 
     Raises:
-        OSError: It was not possible for `MAX_BIND_WAIT_NS`.
+        OSError: Binding still failed after `MAX_BIND_WAIT_NS`.
     """
 
-    def log_first(error: OSError, count: int) -> None:
+    def log_first_failure(error: OSError, count: int) -> None:
         if not count:
             log.info("not_listening", address=":".join(map(str, address)), error=str(error))
 
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        listen_with_retries(listener, address, backlog, log_first)
+        listen_with_retries(listener, address, backlog, log_first_failure)
     except BaseException:
         listener.close()
         raise
@@ -92,10 +95,10 @@
 
     Args:
         listener: The listening socket.
-        retry_pause_s: Seconds until the next call if accept failed.
-        on_failure: Called when it did.
-        guard: Records exceptions of `on_connection`; they close that connection alone.
-        on_connection: Called with each connection; must not block.
+        retry_pause_s: Pause after a failed accept, seconds.
+        on_failure: Called after each failed accept.
+        guard: Records exceptions of `on_connection`; each closes only the connection it was raised for.
+        on_connection: Called with each accepted connection; must not block.
     """
 
     def start_or_close(sock: socket.socket) -> None:
@@ -116,7 +119,7 @@
 
 
 def set_options(sock: socket.socket, options: Iterable[SocketOption], on_failure: Callable[[], None]) -> None:
-    """Set options that save time or memory; `on_failure` is called for each that can't be set."""
+    """Set socket options that only improve performance; call `on_failure` for each one that can't be set."""
     for option in options:
         try:
             sock.setsockopt(*option)
@@ -125,15 +128,17 @@
 
 
 def connect_within(sock: socket.socket, address: tuple[str, int], seconds: float) -> None:
-    """Connect with a time-out; a connection that came up while this process was delayed past it counts.
+    """Connect with a time-out.
+
+    A connection that was established counts as connected even if this process was delayed past the time-out.
 
     Args:
-        sock: Blocks without a time-out afterwards.
+        sock: An unconnected socket; afterwards it blocks without a time-out.
         address: Host and port.
-        seconds: The time-out; 0: as long as the operating system tries.
+        seconds: The time-out; with 0 only the time-out of the operating system applies.
 
     Raises:
-        OSError: It failed; `TimeoutError`: not in time.
+        OSError: Connecting failed; `TimeoutError` if the time-out passed first.
     """
     sock.settimeout(seconds or None)
     try:
@@ -153,12 +158,12 @@
 
 
 def is_transient(error: OSError) -> bool:
-    """Return whether a call failed on a connection that is as good as before."""
+    """Return whether an error leaves the connection intact, so that the call can be retried."""
     return error.errno in TRANSIENT_ERRORS
 
 
 def _retry_while_transient(call: Callable[[], int], error: OSError) -> int:
-    """Make a failed call again while its errors are transient, for about a second at most."""
+    """Retry a failed call while its errors are transient, for about a second at most."""
     for _ in range(MAX_RETRIES):
         if not is_transient(error):
             break
@@ -171,7 +176,7 @@
 
 
 def receive_into(sock: socket.socket, buffer: memoryview) -> int:
-    """Wait for bytes and read them into `buffer`; return how many, 0 at the end."""
+    """Wait for bytes and read them into `buffer`; return their number, 0 at the end of the stream."""
     try:
         size: int = sock.recv_into(buffer)
     except OSError as error:
@@ -180,10 +185,11 @@
 
 
 def read_chunks(sock: socket.socket) -> Iterator[memoryview]:
-    """Yield what arrives on a connection until it ends; each chunk is valid until the next wait.
+    """Yield the bytes that arrive on a connection until it ends.
 
-    Other greenlets run after each `CALLS_PER_TURN` reads. A read that finds bytes does not block, so a peer
-    that sends without a pause would keep them from running, also those that could close its connection.
+    Each chunk is a view of `READ_BUFFER` and valid only until this greenlet next waits. Other greenlets run
+    after every `CALLS_PER_TURN` reads: a read that finds bytes does not block, so a peer that sends without a
+    pause would starve them, including those that could close its connection.
     """
     for count in itertools.count(1):
         size = receive_into(sock, READ_BUFFER)
@@ -195,10 +201,10 @@
 
 
 def receive_available(sock: socket.socket) -> memoryview | None:
-    """Read what has arrived, up to the size of `READ_BUFFER`, without blocking.
+    """Read the bytes that have arrived, up to the size of `READ_BUFFER`, without blocking.
 
     Returns:
-        Some bytes; none at the end; None if nothing has arrived, or if the read had a transient error.
+        The bytes; empty at the end of the stream; None if nothing has arrived or on a transient error.
     """
     timeout = sock.gettimeout()
     sock.settimeout(0.0)
@@ -215,11 +221,11 @@
 
 
 def peek(sock: socket.socket, max_bytes: int = 1, on_transient_error: bytes | None = None) -> bytes | None:
-    """Return what arrives next, without removing it from the socket and without blocking.
+    """Return the next unread bytes without removing them from the socket and without blocking.
 
     Returns:
-        Some bytes; none at the end, of which a reset or a closed socket is one; None if nothing has arrived;
-        `on_transient_error` after such an error.
+        The bytes; empty at the end of the stream, after a reset and on a closed socket; None if nothing has
+        arrived; `on_transient_error` on a transient error.
     """
     timeout = sock.gettimeout()
     sock.settimeout(0.0)
@@ -235,17 +241,17 @@
 
 
 def has_ended(sock: socket.socket) -> bool:
-    """Return whether the end of a connection is all that is left to read; does not block."""
+    """Return whether a connection has ended and no unread bytes are left; does not block."""
     return peek(sock) == b""
 
 
 def has_unread_bytes(sock: socket.socket) -> bool:
-    """Return whether bytes lie unread, or may; an end alone does not count. Does not block."""
+    """Return whether there are, or may be, unread bytes; the end alone does not count. Does not block."""
     return bool(peek(sock, on_transient_error=b"?"))
 
 
 def send_some(sock: socket.socket, data: memoryview) -> int:
-    """Wait until the operating system takes some of `data`; return how many bytes."""
+    """Wait until the kernel accepts some of `data`; return the number of bytes written."""
     try:
         size: int = sock.send(data)
     except OSError as error:
@@ -254,7 +260,7 @@
 
 
 def send_now(sock: socket.socket, data: bytes | bytearray) -> int:
-    """Write what the operating system takes without blocking; return how many bytes."""
+    """Write as much of `data` as the kernel accepts without blocking; return the number of bytes written."""
     try:
         size: int = sock.send(data, 0, 0.0)
     except BlockingIOError:
@@ -263,7 +269,7 @@
 
 
 def send_or_defer(sock: socket.socket, data: bytes | bytearray) -> int:
-    """Do as `send_now`; after a transient error nothing was written, and the write can be made again."""
+    """Like `send_now`, but return 0 on a transient error: nothing was written, and the caller can retry."""
     try:
         return send_now(sock, data)
     except OSError as error:
--- a/marbleglade/transport/timed_write.py
+++ b/marbleglade/transport/timed_write.py
@@ -1,4 +1,4 @@
-"""Writes with a time limit for the peer, extended while this process itself is delayed."""
+"""Writes with a time limit for the peer; delays of this process itself do not count against it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def acquire_within(lock: Semaphore, limit: TimeLimit) -> bool:
-    """Wait for a lock; false if it was not released within the limit."""
+    """Acquire a lock; return False if it was not released within the limit."""
     while not lock.acquire(timeout=limit.seconds_left()):
         if limit.expired():
             # It may have been released as the limit expired.
@@ -20,7 +20,7 @@
 
 
 def send_within(sock: socket.socket, data: bytes | bytearray | memoryview, limit: TimeLimit) -> bool:
-    """Write all of `data`; false if the peer did not take it within the limit.
+    """Write all of `data`; return False if the peer did not take it within the limit.
 
     Raises:
         OSError: The connection has failed.
--- a/marbleglade/transport/upstream_client.py
+++ b/marbleglade/transport/upstream_client.py
@@ -25,23 +25,23 @@
 from .response_reader import ResponseReader
 from .upstream_connection import InFlightRequest, UpstreamConnection, UpstreamResult
 
-LOAD_REPORT_REQUEST_ID = "look%d"  # counted by process; clients choose the ids of attempts
+LOAD_REPORT_REQUEST_ID_FORMAT = "look%d"  # numbered within the process; clients choose the ids of attempts
 
-# Writes a request to a connection. Returns None if it was written, else the result of the request.
+# Writes a request to a connection. Returns None if it was written, otherwise the result of the request.
 WriteRequest = Callable[[InFlightRequest, UpstreamConnection], UpstreamResult | None]
 
 
 class UpstreamClient:
-    """Executes attempts: `execute` sends one and blocks until it has ended.
+    """Sends attempts and load report requests, and waits until each has ended.
 
     Args:
         upstreams: The known upstreams.
-        body_budget: Bytes of response bodies in memory.
+        body_budget: The budget for response bodies in memory.
         limits: Bounds of the connections.
         clock: The monotonic clock, ns.
         guard: Counts and logs what fails.
-        purged_since: Returns whether the object of a request was purged since a moment, ns of `clock`.
-        apply_pending_events: Applies watch events that have reached this machine and lie unread.
+        purged_since: Returns whether the object of a request was purged since a given time of `clock`.
+        apply_pending_events: Applies watch events that have reached this machine but are still unread.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         apply_pending_events: Callable[[], None] = lambda: None,
     ) -> None:
         self.body_budget = body_budget
-        self.in_flight: Counter[Upstream] = Counter()  # attempts that have begun and not ended
+        self.in_flight: Counter[Upstream] = Counter()  # attempts that have started and not ended
         self._upstreams = upstreams
         self._clock = clock
         self._guard = guard
@@ -75,16 +75,16 @@
 
     @property
     def connection_count(self) -> int:
-        """Connections to all upstreams that are open or being opened."""
+        """The number of connections to all upstreams that are open or being opened."""
         return self.pool.connection_count
 
     def connections(self, upstream: Upstream) -> int:
-        """Return how many connections to an upstream are open."""
+        """Return the number of open connections to an upstream."""
         pool = self.pool.by_upstream.get(upstream)
         return len(pool.connections) if pool else 0
 
     def execute(self, client_request: ClientRequest, order: AttemptOrder) -> UpstreamResult:
-        """Send an attempt and wait for its end."""
+        """Send an attempt and wait until it has ended."""
         attempt = order.attempt
         upstream, time_left = attempt.upstream, attempt.sent_at + attempt.timeout - self._clock()
         self.in_flight[upstream] += 1
@@ -96,7 +96,7 @@
                 client_request.cached_etag,
                 cacheable=not client_request.request_class.uncacheable,
             )
-            return self._run(
+            return self._send_and_wait(
                 request,
                 upstream,
                 time_left,
@@ -104,19 +104,19 @@
             )
         finally:
             self.in_flight[upstream] -= 1
-            if not self.in_flight[upstream]:  # upstreams are listed and removed: the map must not grow
+            if not self.in_flight[upstream]:  # upstreams come and go: the map must not keep removed ones
                 del self.in_flight[upstream]
 
     def request_load_report(self, upstream: Upstream, timeout: int) -> dict[str, float]:
-        """Request an upstream's load report; empty if none came within `timeout` ns.
+        """Return an upstream's load report, or an empty one if none was received within `timeout` ns.
 
-        On the wire this is a health check. Its result opens and closes no circuit: an ejected upstream is
-        restored by a half-open probe alone, which is an attempt.
+        On the wire this is a health check. Its result neither opens nor closes a circuit: only a half-open
+        probe, which is an attempt, restores an ejected upstream.
         """
         self._load_report_requests += 1
-        request_id = LOAD_REPORT_REQUEST_ID % self._load_report_requests
+        request_id = LOAD_REPORT_REQUEST_ID_FORMAT % self._load_report_requests
         request = InFlightRequest(request_id, AsyncResult(), is_load_report_request=True)
-        result = self._run(
+        result = self._send_and_wait(
             request,
             upstream,
             timeout,
@@ -134,17 +134,17 @@
             self.body_budget.release(len(result.response.body))
 
     def drop_connections(self, upstreams: list[Upstream]) -> None:
-        """Use no connection again to upstreams that are gone, have moved or have restarted."""
+        """Stop reusing connections to upstreams that were removed, have moved or have restarted."""
         self.pool.close_stale(upstreams)
 
     def close_idle(self) -> None:
-        """Close connections that were idle for long."""
+        """Close connections that have been idle for too long."""
         self.pool.close_idle()
 
-    def _run(
+    def _send_and_wait(
         self, request: InFlightRequest, upstream: Upstream, time_left: int, write: WriteRequest
     ) -> UpstreamResult:
-        """Send a request and wait until it has ended or `time_left` ns have passed."""
+        """Send a request, wait for its end for up to `time_left` ns, and cancel it if it is unanswered."""
         connection = self.pool.take_idle(upstream, request.id)
         if connection:
             self._start_guarded(request, lambda: write(request, connection))  # does not block
@@ -156,11 +156,12 @@
                 result = request.result.get() or UpstreamResult(AttemptResult.CANCELLED)
         finally:
             if not request.result.ready():
-                request.result.set(None)  # a greenlet that still opens a connection for it stops
+                request.result.set(None)  # tells a greenlet that is still connecting not to send it
             self._cancel_unanswered(request)
         return result or UpstreamResult(AttemptResult.TIMEOUT)
 
     def _start_guarded(self, request: InFlightRequest, start: Callable[[], UpstreamResult | None]) -> None:
+        """Call `start` and set the result that it returns; an exception gives the request a result too."""
         try:
             result = start()
         except Exception as error:
@@ -172,10 +173,10 @@
     def _connect(
         self, request: InFlightRequest, upstream: Upstream, write: WriteRequest
     ) -> UpstreamResult | None:
-        """Write a request to a new or shared connection.
+        """Write a request to an idle, new or shared connection.
 
-        If the upstream has moved or restarted meanwhile the connection leads to its old address, where
-        another upstream may listen now.
+        If the upstream moved or restarted while the connection was being opened, the connection goes to the
+        old address, where another upstream may listen by now. It is closed, and another one is acquired.
         """
         connection = self.pool.acquire(upstream, request.id)
         while (
@@ -196,7 +197,7 @@
         client_request: ClientRequest,
         order: AttemptOrder,
     ) -> UpstreamResult | None:
-        """Write an attempt if it may still be written; return its result if it was not."""
+        """Write an attempt if it may still be sent; return its result if it was not written."""
         attempt = order.attempt
         self._check.apply_pending(client_request)
         if reason := self._check.reason_to_withhold(request, attempt, connection):
@@ -213,7 +214,7 @@
         source_id = "" if attempt.fill_source is attempt.upstream else source.id
         message = attempt_message(client_request, order, source_id, time_left)
         result = self._send(connection, request, message.encode())
-        order.written = result is None  # if not a byte was written it can't have run
+        order.written = result is None  # an attempt of which no byte was written can't have run
         self._log_attempt(client_request, order, message.timeout_ms)
         return result
 
@@ -233,10 +234,11 @@
     def _send_load_report_request(
         self, request: InFlightRequest, connection: UpstreamConnection, upstream: Upstream
     ) -> UpstreamResult | None:
-        """Write a load report request if it is still waited for and the upstream is in use."""
+        """Write a load report request unless it has timed out or its upstream is no longer active."""
         self._check.apply_pending()
         if request.result.ready():
-            # It has timed out, so nobody would cancel it: unanswered it would keep its connection for good.
+            # It has timed out and would not be cancelled: without a response it would occupy its connection
+            # forever.
             self.pool.release(connection)
             return None
         if upstream.state is not UpstreamState.ACTIVE or connection.pool.stale:
@@ -248,15 +250,16 @@
         self, connection: UpstreamConnection, request: InFlightRequest, data: bytes
     ) -> UpstreamResult | None:
         self._counters.add("attempt.sent")
-        if connection.send_first(request, data, self.pool.close):
+        if connection.send_request(request, data, self.pool.close):
             return None
         return UpstreamResult(AttemptResult.RESET)
 
     def _cancel_unanswered(self, request: InFlightRequest) -> None:
-        """Cancel a request that has ended here without a response.
+        """Send a cancel for a request that has ended on this side without a response.
 
-        Its connection is closed unless other requests share it: a cache that does not answer may be stuck,
-        and the next request on it would be lost too. A shared one takes new requests last until it answers.
+        Its connection is closed unless other requests share it: a cache that does not respond may be stuck,
+        and the next request on the connection would be lost too. A shared connection is the last choice for
+        new requests until the cache responds on it.
         """
         connection, request.connection = request.connection, None
         if connection is None or connection.in_flight.get(request.id) is not request:
@@ -265,7 +268,8 @@
         self._counters.add("attempt.cancel_sent")
         connection.cancelled.add(request.id)
         connection.unanswered = True
-        # If it is half written the cancel follows the rest of it: other requests on the connection go on.
+        # A request that is partly written is completed before the cancel: the connection stays usable for the
+        # other requests.
         connection.send(encode_cancel(request.id), self.pool.close)
         if not connection.in_flight:
             self.pool.close(connection)
--- a/marbleglade/transport/upstream_connection.py
+++ b/marbleglade/transport/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a cache, parent or the origin, and what is in flight on it."""
+"""One connection to a cache, a parent or the origin, and its requests in flight."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     """How an attempt or a load report request ended.
 
     Attributes:
-        result: The result as the policy knows it.
-        response: The response, if one came. Its body counts against the body budget until it is released.
+        result: The result, in the terms of the policy.
+        response: The response, if one was received. Its body counts against the body budget until released.
     """
 
     result: AttemptResult
@@ -28,26 +28,26 @@
 
     @property
     def not_modified(self) -> bool:
-        """True if the client's own cached object is still valid."""
+        """Whether the object that the client has cached is still valid."""
         return self.response is not None and self.response.status is CacheStatus.NOT_MODIFIED
 
     @property
     def has_object(self) -> bool:
-        """True if the object itself came."""
+        """Whether the response contains the object."""
         return self.result is AttemptResult.OK and not self.not_modified
 
 
 @dataclass(slots=True, eq=False)
 class InFlightRequest:
-    """A request, for an object or for a load report, that waits for its response.
+    """A request for an object or for a load report that waits for its response.
 
     Attributes:
-        id: The id under which the upstream answers.
-        result: Gets an `UpstreamResult`, or None once nobody waits for it any more.
-        cached_etag: Tag of the object that the client has cached; empty: none.
-        is_load_report_request: It asks for the load report: a health check on the wire.
-        cacheable: The object may be cached; otherwise a response names no tag.
-        connection: The connection that it was written to; None before that and after its end.
+        id: The id of the request, which the response repeats.
+        result: Set to an `UpstreamResult`, or to None once no caller waits for the result.
+        cached_etag: Entity tag of the object that the client has cached; empty: none.
+        is_load_report_request: The request is for a load report, which is a health check on the wire.
+        cacheable: The object may be cached; responses with an uncacheable object have no entity tag.
+        connection: The connection that the request was written to; None before the write and after its end.
     """
 
     id: str
@@ -60,12 +60,12 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointPool:
-    """The connections to one upstream. The one that became idle last is used first.
+    """The connections to one upstream. The most recently used idle connection is reused first.
 
     Attributes:
-        idle: Connections without a request in flight, the one idle for longest first.
+        idle: Connections without a request in flight, the longest idle one first.
         connections: All connections.
-        stale: The upstream is gone, has moved or has restarted: no connection is used again.
+        stale: The upstream was removed, has moved or has restarted: no connection is reused.
     """
 
     idle: dict[UpstreamConnection, None] = field(default_factory=dict)
@@ -81,16 +81,16 @@
         pool: The pool that the connection belongs to.
 
     Attributes:
-        decoder: Decodes its responses.
+        decoder: Decodes the responses.
         in_flight: Requests that wait for their response, by id.
-        writer_running: A greenlet writes what the kernel did not take at once.
+        writer_running: A greenlet is writing the bytes that the kernel did not accept immediately.
         cancelled: Ids of cancelled requests; late responses to them are dropped.
-        last_answered: Id of the last response; a duplicate of it may follow and is dropped.
-        reserved_bytes: Of the body budget, for the response body that is being read.
-        waiting_reader: The greenlet that reads, while it waits for the body budget.
-        idle_since: When it was last released, ns.
-        unanswered: A request was cancelled here, and no response has come since.
-        closed: It was closed on this side.
+        last_answered: Id of the last response; a duplicate of that response is dropped.
+        reserved_bytes: Bytes of the body budget reserved for the response body that is being read.
+        waiting_reader: The reading greenlet while it waits for the body budget, else None.
+        idle_since: When the connection was last released, ns.
+        unanswered: A request was cancelled on this connection, and no response has arrived since.
+        closed: This side has closed the connection.
     """
 
     def __init__(self, sock: socket.socket, pool: EndpointPool) -> None:
@@ -106,16 +106,16 @@
         self.idle_since = 0
         self.unanswered = False
         self.closed = False
-        self._write_queue = bytearray()  # what the running writer writes next
+        self._write_queue = bytearray()  # bytes that the running writer writes next
 
     def is_unambiguous(self, request_id: str) -> bool:
-        """Return whether a response to this id could not be mistaken for one to an earlier request."""
+        """Return whether a response with this id can't belong to an earlier request on this connection."""
         return request_id not in self.cancelled and request_id != self.last_answered
 
-    def send_first(self, request: InFlightRequest, data: bytes, close: CloseConnection) -> bool:
-        """Write a request; False if the kernel takes none of it now.
+    def send_request(self, request: InFlightRequest, data: bytes, close: CloseConnection) -> bool:
+        """Write a request; return False if none of it could be written immediately.
 
-        It is not written later: its client may have left by then, and its deadline would be too long.
+        It is not written later: its client may have left by then, and its time-out would be too long.
         """
         request.connection = self
         self.in_flight[request.id] = request
@@ -127,7 +127,7 @@
         if not sent:
             del self.in_flight[request.id]
             request.connection = None
-            if not self.in_flight:  # other requests on it go on
+            if not self.in_flight:  # otherwise keep it for the other requests
                 close(self)
             return False
         if sent < len(data):
@@ -135,7 +135,7 @@
         return True
 
     def send(self, data: bytes, close: CloseConnection) -> None:
-        """Write a message; what the kernel does not take at once is written by a greenlet."""
+        """Write a message; a greenlet writes the bytes that the kernel does not accept immediately."""
         if self.writer_running:
             self._write_queue += data
             return
--- a/tests/transport/test_arrival.py
+++ b/tests/transport/test_arrival.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from marbleglade.transport.arrival import MAX_UNNOTICED_NS, MIN_EMPTY_TICKS, ArrivalBound, arrival_time
+from marbleglade.transport.arrival import MAX_USUAL_DELAY_NS, MIN_EMPTY_TICKS, ArrivalBound, arrival_time
 
 TICK_NS = 10
 IDLE_TICKS = 20
@@ -100,5 +100,5 @@
 
 
 def test_a_usual_wait_does_not_count_and_a_long_one_counts_completely():
-    assert arrival_time(1000, 1000 + MAX_UNNOTICED_NS) == 1000 + MAX_UNNOTICED_NS
-    assert arrival_time(1000, 1001 + MAX_UNNOTICED_NS) == 1000
+    assert arrival_time(1000, 1000 + MAX_USUAL_DELAY_NS) == 1000 + MAX_USUAL_DELAY_NS
+    assert arrival_time(1000, 1001 + MAX_USUAL_DELAY_NS) == 1000
