--- a/marbleglade/transport/discovery_watch.py
+++ b/marbleglade/transport/discovery_watch.py
@@ -1,4 +1,4 @@
-"""Watches the discovery service, over more than one connection while none of them receives anything."""
+"""Watches the discovery service; opens further connections while the open ones receive no lines."""
 
 from __future__ import annotations
 
@@ -19,36 +19,36 @@
 from .sockets import READ_BUFFER
 from .watch_connection import MAX_PENDING_READS, WatchConnection
 
-HEARTBEAT_INTERVAL_S = 1.0  # the protocol promises at least one line in each
-SILENCE_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S  # without a complete line; then another connection is opened
+HEARTBEAT_INTERVAL_S = 1.0  # the protocol guarantees at least one line per interval
+SILENCE_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S  # without a complete line, before another connection is opened
 # Multiples of the silence time-out.
-MAX_TIMEOUT_FACTOR = 8  # the longest wait for a line, and the longest between the openings of two connections
-PARTIAL_LINE_FACTOR = 2  # for how long bytes without a line end postpone the next connection
-MAX_CONNECTIONS = 4  # at a time; at most one of them has received a line
+MAX_TIMEOUT_FACTOR = 8  # limit of the wait for a line, and of the time between opening two connections
+PARTIAL_LINE_FACTOR = 2  # limit of the time for which bytes without a line end postpone the next connection
+MAX_CONNECTIONS = 4  # open at a time; at most one of them has received a line
 
 
 class WatchClient:
-    """Follows a discovery service from the last index that is known here.
+    """Follows a discovery service from the last index that this process has handled.
 
-    A connection that receives nothing for the silence time-out is not closed: the service may be slow or
-    overloaded. Another one is opened beside it, and the first one that receives a line is kept. The waits
-    between further ones double, within a bound.
+    A connection that receives no line within the silence time-out is not closed, as the service may be slow
+    or overloaded. Another connection is opened in addition, and the first one that receives a line is kept.
+    The time between opening further connections doubles up to a limit.
 
     Args:
         address: Host and port of the service.
-        last_index: Index of the last event that is known.
-        callbacks: What is called with the events.
+        last_index: Index of the last event that was handled before.
+        callbacks: The functions that handle the events.
         guard: Counts and logs what fails.
-        loop: The monitored event loop; None: unread events are looked for before each attempt.
-        accept_index_restart: Whether the service may restart its indexes; else lower indexes are old ones.
+        loop: The monitor of the event loop; None: unread events are checked for before every attempt.
+        accept_index_restart: Whether the service may restart its indexes; if not, lower indexes are old ones.
         silence_timeout_s: Seconds without a line after which another connection is opened.
-        retry_pause_s: Seconds until the next connection after one that failed.
+        retry_pause_s: Seconds after a failed connection until the next one is opened.
 
     Attributes:
-        address: The address in use.
-        last_line_at: When a line last arrived whose index was the last known one or later, ns; 0: never.
+        address: Host and port in use.
+        last_line_at: When a line with the last handled index or a later one last arrived, ns; 0: never.
         connections: The open connections, the oldest first.
-        sequence: Puts the events in order, whichever connection they arrive on.
+        sequence: Checks the order of the events of all connections.
     """
 
     def __init__(
@@ -72,10 +72,10 @@
         self._loop = loop or LoopMonitor(clock.now, guard.log)
         self._silence_timeout_ns = round(silence_timeout_s * SECOND_NS)
         self._retry_pause_ns = round(retry_pause_s * SECOND_NS)
-        self._backoff_ns = self._silence_timeout_ns  # until the next connection is opened
+        self._backoff_ns = self._silence_timeout_ns  # time between opening two connections
         self._next_open_at = 0
-        self._unresponsive_since = 0  # no connection has received a line since then, ns; 0: one does
-        self._reconnecting = False  # all connections are to be replaced at once
+        self._unresponsive_since = 0  # since when no connection has received a line, ns; 0: one does
+        self._reconnecting = False  # `run` has to replace all connections now
         self._wake = Signal()
         self._running = Signal()
         self._running.set()
@@ -87,7 +87,7 @@
 
     @property
     def confirmed_at(self) -> int:
-        """When the service last confirmed that no event was missing here, ns; 0: never."""
+        """When the service last confirmed that no event is missing here, ns; 0: never."""
         return self.sequence.confirmed_at
 
     # Control
@@ -106,10 +106,11 @@
             self.close_connections()
 
     def reconnect(self, address: tuple[str, int]) -> None:
-        """Follow the service at an address from the last index, at once.
+        """Follow the service at an address from the last index, starting now.
 
-        If it is followed there already, one more connection is opened and none is closed: else configurations
-        that arrive faster than a slow service sends its first line would keep the front without events.
+        If that address is already in use, one more connection is opened and none is closed. Otherwise
+        configurations that arrive faster than a slow service sends its first line would keep the front
+        without events.
         """
         if address != self.address or not self.connections:
             self.address = address
@@ -118,12 +119,12 @@
             gevent.spawn(self._run_connection)
 
     def pause(self) -> None:
-        """Close the connections until `resume`; the last index is kept."""
+        """Close the connections and open none until `resume`; the last index is kept."""
         self._running.clear()
         self._wake.set()
 
     def resume(self) -> None:
-        """Follow again from the last index, at once."""
+        """Follow the service again from the last index, starting now."""
         self._running.set()
         self._replace_connections()
 
@@ -136,29 +137,29 @@
         self._reconnecting = True
         self._wake.set()
 
-    # Events ahead of the readers of the connections
+    # Events handled before the readers of the connections get to them
 
     def apply_known_events(self, events: Iterable[WatchEvent]) -> None:
-        """Handle those events of a new configuration that are next in turn."""
+        """Handle the events of a new configuration whose index directly follows the last one."""
         for event in events:
             if event.index == self.last_index + 1:
-                with suppress(InvalidLineError):  # the service sends it again
+                with suppress(InvalidLineError):  # the service itself sends the event again
                     self.sequence.receive(event)
 
     def apply_pending_events(self) -> None:
-        """Handle events that have reached this machine and may have lain unread for long."""
+        """Handle events that have reached this machine and may have been unread for long."""
         for connection in list(self.connections):
             for _ in range(MAX_PENDING_READS):
-                if not connection.may_hide_events() or not self._receive_pending(connection):
+                if not connection.may_have_unread_events() or not self._handle_pending(connection):
                     break
 
-    def _receive_pending(self, connection: WatchConnection) -> bool:
-        """Handle what lies unread on a connection, ahead of its reader; return whether there may be more."""
+    def _handle_pending(self, connection: WatchConnection) -> bool:
+        """Handle the unread events of a connection ahead of its reader; return whether there may be more."""
         try:
             data = connection.read_pending()
             if not data:
-                return False  # the reader finds the end
-            self._receive(connection, data)
+                return False  # the reader handles the end of the stream
+            self._handle_data(connection, data)
         except (OSError, InvalidLineError) as error:
             self._handle_failure(connection, error)
             return False
@@ -167,13 +168,13 @@
     # Connections
 
     def _open_next(self) -> None:
-        """Open one more connection, and schedule the one after it."""
+        """Open one more connection and schedule the next one."""
         if self.connections:
             self._record_unresponsive()
             self._backoff_ns = min(2 * self._backoff_ns, MAX_TIMEOUT_FACTOR * self._silence_timeout_ns)
         if len(self.connections) >= MAX_CONNECTIONS:
             self._close(self.connections[0])
-        self._next_open_at = clock.now() + self._backoff_ns // 2  # it has to be connected by then
+        self._next_open_at = clock.now() + self._backoff_ns // 2  # time for it to connect
         gevent.spawn(self._run_connection)
 
     def _record_unresponsive(self) -> None:
@@ -189,10 +190,10 @@
         )
 
     def _run_connection(self) -> None:
-        """Open a connection and read it until it ends."""
+        """Open a connection and handle its events until it ends."""
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        except OSError as error:  # out of descriptors: the next one is tried after the backoff
+        except OSError as error:  # out of descriptors: `run` retries after the backoff
             self._counters.add(f"discovery.{type(error).__name__}")
             return
         connection = WatchConnection(sock, self._loop)
@@ -205,14 +206,14 @@
             self._guard.record("discovery", error)
             self._handle_failure(connection, error)
         else:
-            self._handle_failure(connection, ConnectionError("closed"))
+            self._handle_failure(connection, ConnectionError("the service closed the connection"))
 
     def _follow(self, connection: WatchConnection) -> None:
-        """Read one connection until it ends.
+        """Connect, and handle the events of the connection until the service closes it.
 
         Raises:
-            TimeoutError: It received no line for the longest time allowed.
-            OSError: It failed.
+            TimeoutError: No line was received for the longest time allowed.
+            OSError: The connection failed.
             InvalidLineError: Events have to be requested again.
         """
         timeout_ns = MAX_TIMEOUT_FACTOR * self._silence_timeout_ns
@@ -220,15 +221,15 @@
         self._counters.add("discovery.connected")
         self._next_open_at = max(self._next_open_at, clock.now() + self._backoff_ns)
         for data in connection.read(timeout_ns):
-            self._receive(connection, data)
+            self._handle_data(connection, data)
 
-    def _receive(self, connection: WatchConnection, data: memoryview) -> None:
-        """Handle what a connection received."""
+    def _handle_data(self, connection: WatchConnection, data: memoryview) -> None:
+        """Handle the bytes that a connection received."""
         for event in self.sequence.decode(connection.decoder, data):
             self.sequence.receive(event)
-            if event.index >= self.last_index:  # a service that sends only old indexes has fallen behind
+            if event.index >= self.last_index:  # a service that sends only old indexes lags behind
                 self._record_line(connection)
-        # Bytes without a line end may be a long list of an overloaded service.
+        # Bytes without a line end may be part of a long list from an overloaded service.
         postponed_until = connection.last_line_at + PARTIAL_LINE_FACTOR * self._silence_timeout_ns
         self._next_open_at = max(
             self._next_open_at, min(clock.now() + self._silence_timeout_ns, postponed_until)
@@ -248,7 +249,7 @@
             self._unresponsive_since = 0
 
     def _handle_failure(self, connection: WatchConnection, error: Exception) -> None:
-        """Close a connection that failed; the next one is opened soon, unless a responsive one is left."""
+        """Close a failed connection, and open another one soon unless a responsive one is left."""
         if isinstance(error, IndexRestartError):
             self._replace_connections()
         if connection.closed:
@@ -257,9 +258,9 @@
         if self._log.debug_on:
             self._log.debug("watch", state="ended", reason=str(error), last_index=self.last_index)
         self._close(connection)
-        # After a time-out the other connections are still waited for, and more are opened in their turn.
-        others_wait = isinstance(error, TimeoutError) and self.connections
-        if not others_wait and not any(self._is_responsive(other) for other in self.connections):
+        # After a time-out the other connections may still respond, and further ones are opened on schedule.
+        others_may_respond = isinstance(error, TimeoutError) and self.connections
+        if not others_may_respond and not any(self._is_responsive(other) for other in self.connections):
             self._next_open_at = min(self._next_open_at, clock.now() + self._retry_pause_ns)
         self._wake.set()
 
--- a/marbleglade/transport/event_sequence.py
+++ b/marbleglade/transport/event_sequence.py
@@ -1,4 +1,4 @@
-"""The order of discovery events: each index counts once and in turn; missing events are requested again."""
+"""Keeps discovery events in the order of their indexes, drops duplicates, and detects missing events."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class MissingEventError(InvalidLineError):
-    """An index was skipped; the events after the last one in turn have to be requested again."""
+    """An index was skipped: the events after the last handled one have to be requested again."""
 
 
 class EventNotAppliedError(InvalidLineError):
-    """An event could not be applied; it has to be requested again."""
+    """An event could not be applied and has to be requested again."""
 
 
 class IndexRestartError(InvalidLineError):
-    """The service has restarted: its indexes begin at 1 again, and all events have to be requested."""
+    """The service has restarted and its indexes start at 1 again: all events have to be requested."""
 
 
 class WatchCallbacks(NamedTuple):
-    """What a watch calls as events arrive.
+    """The functions that a watch calls for received events.
 
     Attributes:
-        handle_event: Applies an event; if this raises, the event is requested once more.
-        handle_heartbeat: Handles a heartbeat; the argument: all events up to its index were handled.
-        handle_index_restart: Handles that the service has restarted its indexes.
+        handle_event: Applies an event; if it raises an exception, the event is requested once more.
+        handle_heartbeat: Handles a heartbeat; its argument says whether all events sent so far were handled.
+        handle_index_restart: Called when the service has restarted its indexes.
     """
 
     handle_event: Callable[[EndpointListChange | Purge], None]
@@ -40,21 +40,21 @@
 
 
 class EventSequence:
-    """Passes each event on once and in the order of the indexes.
+    """Passes each event on exactly once, in the order of the indexes.
 
     A gap, a line that can't be decoded and an event that can't be applied each end the connection, so that
-    the events are requested again; but only once for the same index. If the service then sends the same
-    again, the fault is skipped, since the events after it are needed too.
+    the events are requested again, but only once for the same index. If the same fault occurs again, the gap,
+    line or event is skipped, since the events after it are needed too.
 
     Args:
-        last_index: Index of the last event that is known.
-        callbacks: What is called with the events.
+        last_index: Index of the last event that was handled before.
+        callbacks: The functions that handle the events.
         guard: Counts and logs what fails.
-        accept_restart: Whether the service may restart its indexes; else lower indexes are old ones.
+        accept_restart: Whether the service may restart its indexes; if not, lower indexes are old ones.
 
     Attributes:
         last_index: Index of the last event that was handled.
-        confirmed_at: When a heartbeat last confirmed that no event was missing, ns; 0: never.
+        confirmed_at: When a heartbeat last confirmed that no event is missing, ns; 0: never.
     """
 
     def __init__(
@@ -66,30 +66,31 @@
         self._guard = guard
         self._counters = guard.counters
         self._accept_restart = accept_restart
-        # For each reason to request events again: the index that it was last done for.
-        self._gap_after = NO_INDEX
-        self._undecodable_after = NO_INDEX
-        self._not_applied = NO_INDEX
+        # The index at which events were last requested again, for each reason to do so. For a gap and an
+        # undecodable line it is the last index before them, otherwise the index of the event.
+        self._gap_retry_index = NO_INDEX
+        self._undecodable_retry_index = NO_INDEX
+        self._apply_retry_index = NO_INDEX
 
     def decode(self, decoder: EventDecoder, data: bytes | memoryview) -> Iterator[WatchEvent]:
-        """Yield the events in a connection's bytes; a line that is undecodable a second time is skipped.
+        """Yield the events in the bytes of a connection; a line that is undecodable again is skipped.
 
         Raises:
-            GarbledLineError: A line can't be decoded; it has to be requested again.
+            GarbledLineError: A line can't be decoded and has to be requested again.
         """
         while True:
             try:
                 yield from decoder.feed(data)
                 return
             except GarbledLineError:
-                if self._undecodable_after != self.last_index:
-                    self._undecodable_after = self.last_index
+                if self._undecodable_retry_index != self.last_index:
+                    self._undecodable_retry_index = self.last_index
                     raise
                 self._counters.add("discovery.skipped_line")
                 data = b""
 
     def receive(self, event: WatchEvent) -> None:
-        """Handle an event if it is the next one; one that is known already has no effect.
+        """Handle an event if its index is the next one; an event that was handled before has no effect.
 
         Raises:
             InvalidLineError: Events have to be requested again, from `last_index`.
@@ -111,9 +112,9 @@
     def _receive_heartbeat(self, heartbeat: Heartbeat) -> None:
         if self._accept_restart and heartbeat.index < self.last_index:
             self._counters.add("discovery.index_restart")
-            self.last_index, self._gap_after = 0, NO_INDEX
+            self.last_index, self._gap_retry_index = 0, NO_INDEX
             self._callbacks.handle_index_restart()
-            raise IndexRestartError("the indexes were restarted")
+            raise IndexRestartError("the discovery service has restarted its indexes")
         self._check_gap(heartbeat.index, self.last_index)
         complete = heartbeat.index == self.last_index
         if complete:
@@ -121,17 +122,17 @@
         self._callbacks.handle_heartbeat(complete)
 
     def _check_gap(self, index: int, highest_expected: int) -> None:
-        """Raise MissingEventError where an index shows that events are missing, once for each last index."""
-        if index > highest_expected and self._gap_after != self.last_index:
-            self._gap_after = self.last_index
-            raise MissingEventError("an event is missing")
+        """Raise `MissingEventError`, once per last index, if `index` shows that events are missing."""
+        if index > highest_expected and self._gap_retry_index != self.last_index:
+            self._gap_retry_index = self.last_index
+            raise MissingEventError(f"expected an index up to {highest_expected}, received {index}")
 
     def _apply(self, event: EndpointListChange | Purge) -> None:
         try:
             self._callbacks.handle_event(event)
         except Exception as error:
-            # It is requested once more before its index counts as handled: it may drain a cache.
+            # The event is requested once more before its index counts as handled, as it may drain a cache.
             self._guard.record("event", error)
-            if self._not_applied != event.index:
-                self._not_applied = event.index
-                raise EventNotAppliedError("an event could not be applied") from error
+            if self._apply_retry_index != event.index:
+                self._apply_retry_index = event.index
+                raise EventNotAppliedError(f"event {event.index} could not be applied") from error
--- a/marbleglade/transport/peer_datagrams.py
+++ b/marbleglade/transport/peer_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between fronts that are peers. Lost, late or garbled ones do no harm."""
+"""Datagrams between fronts that are peers. Lost, late and garbled datagrams do no harm."""
 
 from __future__ import annotations
 
@@ -29,27 +29,27 @@
 
 
 class FleetListener(Protocol):
-    """The fleet's part, where one is configured."""
+    """Handles datagrams of the fleet, if this front belongs to one."""
 
     def handle_datagram(self, data: bytes, sender: Address) -> bool:
-        """Process a datagram that is no message of anti-entropy; false if it is unknown here too."""
+        """Process a datagram that is no anti-entropy message; return False if its kind is unknown."""
 
     def peers_replaced(self) -> None:
-        """Follow a new list of peers."""
+        """Update the agent after the list of peers was replaced."""
 
 
 class PeerSocket:
-    """The datagram socket of a front, with the messages of anti-entropy.
+    """The datagram socket of a front, which exchanges anti-entropy messages with its peers.
 
     Args:
-        listen: This front's own address, from which it sends.
-        peers: The addresses of all fronts, in the order that numbers them; this one may be among them.
-        seed: Seed of the random choice of peers to query.
-        anti_entropy: What this front knows.
-        on_update: Called with each new update of a peer.
-        last_discovery_contact: Returns when the discovery service was last heard, ns; 0: never.
-        guard: Logs exceptions and counts datagrams.
-        broadcast_address: An address that reaches all fronts, where there is one.
+        listen: The address of this front, to which the socket is bound.
+        peers: The addresses of all fronts; their order gives the member numbers. May include this front.
+        seed: Seed of the pseudorandom choice of peers to query.
+        anti_entropy: The updates that this front has received, and its state of anti-entropy.
+        on_update: Called with each new update from a peer.
+        last_discovery_contact: Returns when a line of the discovery service was last received, ns; 0: never.
+        guard: Records exceptions, and provides the counters.
+        broadcast_address: An address that reaches all fronts, if there is one.
     """
 
     def __init__(
@@ -75,16 +75,16 @@
         self.fleet: FleetListener | None = None
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.is_bound = False
-        with suppress(OSError):  # `run` tries again
+        with suppress(OSError):  # `run` retries
             self._bind()
         self.replace_peers(peers, broadcast_address)
 
     def attach_fleet(self, fleet: FleetListener) -> None:
-        """Hand the fleet's datagrams to its agent from now on."""
+        """Pass datagrams of the fleet to its agent from now on."""
         self.fleet = fleet
 
     def replace_peers(self, peers: list[Address], broadcast_address: Address | None) -> None:
-        """Use another list of peers; without a broadcast address the known one stays."""
+        """Replace the list of peers, and the broadcast address if a new one is given."""
         self.broadcast_address = broadcast_address or self.broadcast_address
         self.addresses = peers
         self.member_numbers = {address: number for number, address in enumerate(peers)}
@@ -93,12 +93,12 @@
             self.fleet.peers_replaced()
 
     def record(self, update: PeerUpdate) -> None:
-        """Keep a removal that the discovery service sent, for peers that query."""
+        """Record a removal or purge from the discovery service, for peers that query."""
         self.anti_entropy.record(update, clock.now())
 
     def tick(self) -> None:
-        """Query peers where it is due."""
-        self._note_discovery()
+        """Send the queries to peers that are due."""
+        self._record_discovery_contact()
         if not self.others:
             return
         for query in self.anti_entropy.next_queries(clock.now()):
@@ -108,7 +108,7 @@
             self.send(query, self.others[position])
 
     def send(self, message: Message, receiver: Address) -> None:
-        """Encode and send a message; one that is too long is dropped."""
+        """Encode and send a message; drop it if it is too long."""
         data = encode(message)
         if data is None:
             self.counters.add("peer.too_long")
@@ -116,9 +116,9 @@
         self.send_data(data, receiver)
 
     def send_data(self, data: bytes, receiver: Address) -> None:
-        """Send a datagram, or drop it if that would block.
+        """Send a datagram; drop it if sending would block or fails.
 
-        Before the socket is bound nothing is sent: peers ignore datagrams from an address they don't list.
+        Nothing is sent before the socket is bound, as peers ignore datagrams from unlisted addresses.
         """
         if not self.is_bound:
             self.counters.add("peer.not_sent")
@@ -133,14 +133,14 @@
             self.sock.settimeout(None)
 
     def run(self) -> None:
-        """Receive datagrams forever, once the address is free."""
+        """Bind the socket once the address is free, then receive datagrams forever."""
         self._wait_until_bound()
         for count in itertools.count(1):
-            if not count % CALLS_PER_TURN:  # neither a flood nor a failing socket may starve other greenlets
+            if not count % CALLS_PER_TURN:  # a flood of datagrams or errors must not starve other greenlets
                 gevent.sleep(0)
             try:
                 data, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
-            except OSError:  # for one, a peer's port is unreachable
+            except OSError:  # for example, the port of a peer is unreachable
                 self.counters.add("peer.receive_errors")
                 gevent.sleep(RETRY_PAUSE_S)
                 continue
@@ -159,7 +159,7 @@
                 gevent.sleep(BIND_RETRY_PAUSE_S)
 
     def _dispatch(self, data: bytes, sender: Address) -> bool:
-        """Process a datagram; false if its sender or its kind is unknown."""
+        """Process a datagram; return False if its sender or its kind is unknown."""
         if sender not in self.member_numbers:
             return False
         message = decode(data)
@@ -173,7 +173,7 @@
     def _receive(self, message: Message, sender: Address) -> None:
         now = clock.now()
         if isinstance(message, UpdateQuery):
-            self._note_discovery()
+            self._record_discovery_contact()
             for reply in self.anti_entropy.answer(message, now):
                 self.send(reply, sender)
         elif isinstance(message, UpdateReply):
@@ -182,6 +182,6 @@
         elif self.anti_entropy.record(message, now):
             self.on_update(message)
 
-    def _note_discovery(self) -> None:
+    def _record_discovery_contact(self) -> None:
         if contact_at := self.last_discovery_contact():
             self.anti_entropy.record_contact(contact_at)
--- a/marbleglade/transport/watch_connection.py
+++ b/marbleglade/transport/watch_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the discovery service: connecting, reading in time, and reading what lies unread."""
+"""One connection to the discovery service: connects, reads with a time limit, and reads pending events."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from .half_close import unread_input
 from .sockets import READ_BUFFER, read_chunks, receive_available
 
-MAX_UNREAD_NS = 50 * MILLISECOND_NS  # for which an event may lie unread while an attempt is written
-MAX_PENDING_READS = 16  # of one connection at a time, ahead of an attempt
+MAX_UNREAD_NS = 50 * MILLISECOND_NS  # how long an event may be unread when an attempt is written
+MAX_PENDING_READS = 16  # reads of unread events on one connection before an attempt is written
 
 
 class WatchConnection:
-    """A connection to the discovery service, from its opening to its end.
+    """A connection to the discovery service, from connecting to its end.
 
     Args:
-        sock: Its socket, not connected yet.
-        loop: The monitored event loop.
+        sock: The socket, not connected yet.
+        loop: The monitor of the event loop.
 
     Attributes:
-        decoder: Decodes what arrives.
-        last_line_at: When it was opened, or when an index arrived that is not an old one, ns.
-        closed: It was closed on this side.
+        decoder: Decodes the received bytes.
+        last_line_at: When a line whose index was not an old one last arrived, ns; at first the opening time.
+        closed: This side has closed the connection.
     """
 
     def __init__(self, sock: socket.socket, loop: LoopMonitor) -> None:
@@ -43,7 +43,7 @@
         """Connect and request all events after an index.
 
         Raises:
-            OSError: It failed; `TimeoutError`: it was not connected in time.
+            OSError: Connecting failed; `TimeoutError` if the time-out passed first.
         """
         self._sock.settimeout(timeout_ns / SECOND_NS)
         self._sock.connect(address)
@@ -51,31 +51,32 @@
         self._arrivals = ArrivalBound(self._loop, self._loop.last_tick)
 
     def read(self, timeout_ns: int) -> Iterator[memoryview]:
-        """Yield what arrives, until the service closes the connection. Each view is valid until the next one.
+        """Yield the received bytes until the service closes the connection; a view is valid until the next.
 
         Raises:
-            TimeoutError: `last_line_at` is longer ago than the time-out.
+            TimeoutError: More than the time-out has passed since `last_line_at`.
             OSError: The connection failed.
         """
-        assert self._arrivals is not None, "not connected"
+        assert self._arrivals is not None, "read() before connect()"
         for data in read_chunks(self._sock):
             self._arrivals.record_read(len(data) < len(READ_BUFFER))
             yield data
-            # A service that sends old indexes or partial lines without a pause never lets a read wait.
+            # If the service sends old indexes or partial lines without a pause, no read ever blocks, so the
+            # time-out of the socket never expires.
             remaining_ns = timeout_ns - (clock.now() - self.last_line_at)
             if remaining_ns <= 0:
-                raise TimeoutError("only old indexes, or no complete line")
+                raise TimeoutError("received only old indexes, or no complete line, within the time-out")
             self._sock.settimeout(remaining_ns / SECOND_NS)
             self._arrivals.start_waiting()
 
-    def may_hide_events(self) -> bool:
-        """Return whether events may have lain unread for longer than `MAX_UNREAD_NS`."""
+    def may_have_unread_events(self) -> bool:
+        """Return whether events may have been unread for longer than `MAX_UNREAD_NS`."""
         if self.closed or self._arrivals is None:
             return False
         return self._arrivals.may_have_waited(clock.now(), MAX_UNREAD_NS)
 
     def read_pending(self) -> memoryview | None:
-        """Return what lies unread without waiting; None or nothing if there is none, or only the end.
+        """Return the unread bytes without blocking; None or empty if there are none, or only the end is left.
 
         Raises:
             OSError: The connection failed.
@@ -83,6 +84,6 @@
         return receive_available(self._sock) if unread_input(self._sock).readable else None
 
     def close(self) -> None:
-        """Close it; what reads it fails."""
+        """Close the connection; a greenlet that is reading it gets an error."""
         self.closed = True
         self._sock.close()
