--- a/marbleglade/transport/discovery_watch.py
+++ b/marbleglade/transport/discovery_watch.py
@@ -206,7 +206,7 @@
             self._guard.record("discovery", error)
             self._handle_failure(connection, error)
         else:
-            self._handle_failure(connection, ConnectionError("the service closed the connection"))
+            self._handle_failure(connection, ConnectionError("closed"))
 
     def _follow(self, connection: WatchConnection) -> None:
         """Connect, and handle the events of the connection until the service closes it.
--- a/tests/transport/conftest.py
+++ b/tests/transport/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of connections."""
+"""Fixtures for the tests of connections."""
 
 import pytest
 
@@ -8,13 +8,13 @@
 
 @pytest.fixture
 def connections(front):
-    """The front's connections of clients."""
+    """The registry of the front's client connections."""
     return front.client_listener.connections
 
 
 @pytest.fixture
 def start_front(monkeypatch):
-    """Starts a front with a policy; it is closed at the end."""
+    """A function that starts a front with a given policy; the front is closed after the test."""
     fronts = []
 
     def start(policy: type[Policy] = Policy) -> DepartureFront:
--- a/tests/transport/test_arrival.py
+++ b/tests/transport/test_arrival.py
@@ -1,4 +1,4 @@
-"""The interval in which bytes arrived that were read late, with an event loop whose ticks the test sets."""
+"""Lower bounds on the arrival time of bytes that were read late, with a loop monitor that the tests step."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class SteppedLoop:
-    """A loop monitor whose ticks the test sets; the process is stalled for `stalled_ns` before a tick."""
+    """A loop monitor that ticks when a test calls `tick`; `stalled_ns` is the time of a stall before it."""
 
     now: int = 1000
     ticks: int = 0
@@ -41,7 +41,7 @@
 
 
 def bound_after_idle_ticks(loop):
-    """The bound of a reader that has waited for some ticks."""
+    """Return the bound of a reader that has waited for `IDLE_TICKS` ticks."""
     bound = ArrivalBound(loop, loop.now)
     for _ in range(IDLE_TICKS):
         loop.tick()
@@ -53,14 +53,14 @@
     assert bound.earliest_arrival() == loop.now - MIN_EMPTY_TICKS * TICK_NS
 
 
-def test_a_stall_before_the_poll_belongs_to_the_interval(loop):
+def test_bytes_may_have_arrived_at_the_start_of_a_stall_before_the_poll(loop):
     bound = bound_after_idle_ticks(loop)
     loop.tick(stalled_ns=400)
     assert loop.now - bound.earliest_arrival() >= 400
 
 
 def test_a_poll_that_a_signal_interrupted_proves_nothing(loop):
-    """After a stall the interrupted poll reports nothing; the next one reports what arrived."""
+    """After a stall the interrupted poll reports no socket; only the next poll reports what arrived."""
     bound = bound_after_idle_ticks(loop)
     loop.tick(stalled_ns=400)
     loop.tick(after_ns=0)
@@ -71,22 +71,21 @@
     bound = bound_after_idle_ticks(loop)
     bound.record_read(emptied=True)
     read_at = loop.now
-    for _ in range(50):  # it processes what it read
+    for _ in range(50):  # the reader processes the bytes it has read
         loop.tick()
     bound.start_waiting()
     loop.tick()
     assert bound.record_read(emptied=True) == read_at
 
 
-def test_bytes_that_the_receive_buffer_had_no_space_for_may_be_as_old_as_those_before_them(loop):
+def test_bytes_that_did_not_fit_into_the_receive_buffer_may_be_as_old_as_those_before_them(loop):
     bound = bound_after_idle_ticks(loop)
     first = bound.record_read(emptied=False)
     bound.start_waiting()
     for _ in range(2):
         loop.tick()
-        assert (
-            bound.record_read(emptied=True) == first
-        )  # a short read before the reader has waited proves nothing
+        # A read that empties the socket proves nothing before the reader has waited for some ticks.
+        assert bound.record_read(emptied=True) == first
         bound.start_waiting()
     for _ in range(MIN_EMPTY_TICKS + 1):
         loop.tick()
@@ -99,6 +98,6 @@
     assert bound.may_have_waited(loop.now, 1 << 60)
 
 
-def test_a_usual_wait_does_not_count_and_a_long_one_counts_completely():
+def test_the_arrival_time_is_set_back_only_if_the_wait_was_longer_than_usual():
     assert arrival_time(1000, 1000 + MAX_USUAL_DELAY_NS) == 1000 + MAX_USUAL_DELAY_NS
     assert arrival_time(1000, 1001 + MAX_USUAL_DELAY_NS) == 1000
--- a/tests/transport/test_discovery_watch.py
+++ b/tests/transport/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""Watches of the discovery service over loopback: which connections are open, and from which index."""
+"""Watches of the discovery service over loopback: which connections are opened, and from which index."""
 
 from contextlib import suppress
 
@@ -13,8 +13,8 @@
 from tests.harness.waiting import TIMEOUT_SECONDS, wait_until
 
 
-def watch_client(address, apply, guard, silence_timeout_s=0.1, retry_pause_s=0.001):
-    """A client whose last index is 4."""
+def create_watch_client(address, apply, guard, silence_timeout_s=0.1, retry_pause_s=0.001):
+    """Return a watch client whose last index is 4."""
     return WatchClient(
         address,
         4,
@@ -27,7 +27,7 @@
 
 def test_a_watch_continues_from_the_last_index(front):
     service, events = LineServer(), []
-    loop = gevent.spawn(watch_client(service.address, events.append, front.guard).run)
+    loop = gevent.spawn(create_watch_client(service.address, events.append, front.guard).run)
     assert service.wait_for_lines(1) == "follow 4"
     service.sockets[0].sendall(
         GROUP_PURGE_LINE % (4, 1)
@@ -47,7 +47,7 @@
     service.sockets[3].sendall(
         GROUP_PURGE_LINE % (11, 5) + GROUP_PURGE_LINE % (12, 5) + GROUP_PURGE_LINE % (9, 5)[:20]
     )
-    assert service.wait_for_lines(5) == "follow 12"  # the service has no others; then half a line
+    assert service.wait_for_lines(5) == "follow 12"  # gaps were accepted, then a partial line came
     service.sockets[4].close()
     assert service.wait_for_lines(6) == "follow 12"
     loop.kill()
@@ -57,7 +57,7 @@
 
 def test_bytes_without_a_line_end_count_as_silence(front):
     service = LineServer()
-    loop = gevent.spawn(watch_client(service.address, None, front.guard).run)
+    loop = gevent.spawn(create_watch_client(service.address, None, front.guard).run)
     service.wait_for_lines(1)
     with suppress(OSError), gevent.Timeout(TIMEOUT_SECONDS):
         while len(service.lines) < 2:
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize("state", ["reading", "connecting", "waiting"])
 def test_a_new_address_is_followed_at_once_from_the_last_index(front, state):
     old, new = LineServer(), LineServer()
-    if state == "connecting":  # nobody accepts, and the queue is full
+    if state == "connecting":  # no connection is accepted, and the backlog is full
         old.accept_loop.kill()
         queued = [socket.socket() for _ in range(40)]
         for sock in queued:
@@ -80,7 +80,7 @@
                 sock.connect(old.address)
     elif state == "waiting":
         old.close()
-    client = watch_client(old.address, lambda _event: None, front.guard, 60, 60)
+    client = create_watch_client(old.address, lambda _event: None, front.guard, 60, 60)
     loop = gevent.spawn(client.run)
     if state == "reading":
         old.wait_for_lines(1)
@@ -96,37 +96,37 @@
 
 
 @pytest.fixture
-def watched(front):
-    """A service that sends what the test sends, a watch of it, and the events that the watch passed on."""
+def running_watch(front):
+    """A stub service, a running watch of it, and the list of events that the watch passed on."""
     service, events = LineServer(), []
-    client = watch_client(service.address, events.append, front.guard, silence_timeout_s=0.05)
+    client = create_watch_client(service.address, events.append, front.guard, silence_timeout_s=0.05)
     loop = gevent.spawn(client.run)
     yield service, client, events
     loop.kill()
     service.close()
 
 
-def test_the_first_connection_that_receives_a_line_is_kept_and_the_others_close(watched):
-    service, client, events = watched
+def test_the_first_connection_that_receives_a_line_is_kept_and_the_others_close(running_watch):
+    service, client, events = running_watch
     service.wait_for_lines(3)
-    service.sockets[0].sendall(GROUP_PURGE_LINE % (5, 1))  # the oldest, which was not given up
+    service.sockets[0].sendall(GROUP_PURGE_LINE % (5, 1))  # the oldest connection, which is still open
     wait_until(lambda: client.last_index == 5)
     assert len(client.connections) == 1 and [service.sockets[n].recv(1) for n in (1, 2)] == [b"", b""]
     service.sockets[0].sendall(GROUP_PURGE_LINE % (6, 1))
     wait_until(lambda: [event.index for event in events] == [5, 6])
 
 
-def test_connections_are_bounded_and_the_waits_between_them_grow(watched):
-    service, client, _ = watched
+def test_connections_are_bounded_and_the_waits_between_them_grow(running_watch):
+    service, client, _ = running_watch
     service.wait_for_lines(3)
     gevent.sleep(0.5)
-    # They are opened at 0, 0.05, 0.15, 0.35 and 0.75 s, about.
+    # They are opened at about 0, 0.05, 0.15, 0.35 and 0.75 s.
     assert len(service.lines) <= 5 and len(client.connections) <= MAX_CONNECTIONS
     assert set(service.lines) == {"follow 4"}
 
 
-def test_one_connection_that_receives_lines_is_enough(watched):
-    service, client, _ = watched
+def test_one_connection_that_receives_lines_is_enough(running_watch):
+    service, client, _ = running_watch
     service.wait_for_lines(1)
     for index in range(5, 15):
         service.sockets[0].sendall(GROUP_PURGE_LINE % (index, 1))
--- a/tests/transport/test_endless_senders.py
+++ b/tests/transport/test_endless_senders.py
@@ -1,4 +1,4 @@
-"""Peers that send without a pause: a read that finds bytes does not block, and other greenlets must run."""
+"""Peers that send without a pause: reads that find bytes never block, yet other greenlets must run."""
 
 import gevent
 import pytest
@@ -18,10 +18,11 @@
 
 
 class EndlessSocket:
-    """A socket on which each read finds the same bytes, until it ends after so many reads.
+    """A socket on which each of `reads` reads finds the same bytes; then the stream ends.
 
     Attributes:
-        reads_left: Reads until the end.
+        data: The bytes that each read finds.
+        reads_left: The number of reads until the end.
         longest_turn: The most reads between two turns of another greenlet.
     """
 
@@ -115,11 +116,11 @@
 
 
 @pytest.mark.parametrize("line", [b"3\n", b"x"])
-def test_a_discovery_service_that_sends_without_a_pause_and_nothing_new_counts_as_silent(
+def test_a_discovery_service_that_sends_without_a_pause_but_nothing_new_counts_as_silent(
     front, monkeypatch, line
 ):
-    """No read on it ever blocks, so that no time-out of a read expires."""
-    sock = EndlessSocket(line, 300_000)  # some seconds of it
+    """No read on its connection ever blocks, so the time-out of a read never expires."""
+    sock = EndlessSocket(line, 300_000)  # lasts for some seconds
     socket_module = type(
         "SocketModule", (), {"AF_INET": 0, "SOCK_STREAM": 0, "socket": lambda _self, *_: sock}
     )
--- a/tests/transport/test_event_sequence.py
+++ b/tests/transport/test_event_sequence.py
@@ -1,4 +1,4 @@
-"""The order of discovery events, without sockets: what is passed on, and what is requested again."""
+"""The order of discovery events, without sockets: which are passed on, and which are requested again."""
 
 import os
 
@@ -21,7 +21,7 @@
 
 
 class Recorder:
-    """What a sequence passed on: indexes of events, whether heartbeats were complete, restarts."""
+    """Records the calls of a sequence: an event's index, a heartbeat's completeness, or "restart"."""
 
     def __init__(self, accept_restart=False):
         self.calls, self.failing_index = [], 0
@@ -83,7 +83,7 @@
     recorder.sequence.receive(Heartbeat(3))
     with pytest.raises(MissingEventError):
         recorder.sequence.receive(Heartbeat(5))
-    recorder.sequence.receive(Heartbeat(5))  # it was requested again, and the service has no such event
+    recorder.sequence.receive(Heartbeat(5))  # the second one is accepted: the service has no such event
     assert recorder.calls == [False, False] and not recorder.sequence.confirmed_at
     recorder.sequence.receive(Heartbeat(4))
     assert recorder.calls == [False, False, True] and recorder.sequence.confirmed_at
--- a/tests/transport/test_peer_datagrams.py
+++ b/tests/transport/test_peer_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between fronts: removals and purges reach peers, and nothing is added by them."""
+"""Datagrams between fronts: removals and purges reach peers, and no endpoint is ever added by them."""
 
 import gevent
 from gevent import socket
@@ -16,7 +16,7 @@
 
 
 def free_addresses(count):
-    """Addresses at which no datagram socket is bound."""
+    """Return addresses to which no datagram socket is bound."""
     socks = [bound_socket(socket.SOCK_DGRAM) for _ in range(count)]
     addresses = [sock.getsockname() for sock in socks]
     for sock in socks:
@@ -25,7 +25,7 @@
 
 
 def anti_entropy_without_contact():
-    """Of a front that has not heard its discovery service for two seconds."""
+    """Return the state of a front that has received nothing from its discovery service for two seconds."""
     return AntiEntropy(1000 * NS_PER_MS, 9000 * NS_PER_MS, clock.now() - 2000 * NS_PER_MS)
 
 
@@ -46,7 +46,7 @@
         member = Endpoint(id, ("127.0.0.1", 9), "z", "box", 0, STATE_BY_SETTING[state], 0)
         front.request_handler.events.apply_and_publish(EndpointListChange(2, False, [member]))
     front.request_handler.events.apply_and_publish(Purge(4, 0x1F, 0, 5))
-    publishing.tick()  # it hears its discovery service, and queries only now and then
+    publishing.tick()  # it is in contact with its discovery service, so it rarely queries
     querying.tick()
     wait_until(lambda: len(received) == 2)
     assert received == [UpstreamLeaving(0, "s2", 0), Purge(0, 31, 0, 5)]
--- a/tests/transport/test_read_ahead.py
+++ b/tests/transport/test_read_ahead.py
@@ -1,4 +1,4 @@
-"""Reading of a client while it does not take its responses, so that its cancel is noticed."""
+"""Reading ahead from a client that does not read its responses, so that its cancels are noticed."""
 
 from __future__ import annotations
 
@@ -21,12 +21,13 @@
 
 @dataclass(frozen=True)
 class BlockedClient:
-    """A client that does not read, while a response is written to it.
+    """A client that does not read while the front writes a response to it.
 
     Attributes:
-        sock: The client's side.
-        connection: The front's side.
-        response: The bytes of the response.
+        front: The front.
+        sock: The client's socket.
+        connection: The front's state of the connection.
+        response: The complete bytes of that response.
     """
 
     front: DepartureFront
@@ -51,7 +52,7 @@
     return BlockedClient(front, sock, connection, resp_array(b"1", b"ok", b"", b"x" * CACHED_SIZE))
 
 
-def test_messages_read_ahead_are_pending_and_handled_once_responses_are_taken(client):
+def test_messages_read_ahead_are_handled_once_the_client_has_read_its_responses(client):
     client.sock.sendall(client.request())
     wait_until(lambda: client.connection.pending_messages)
     recorded, connections = [], client.front.client_listener.connections
@@ -61,7 +62,7 @@
         recorded.append((len(connection.pending_messages), connection.has_pending_responses))
         close_if_finished(connection)
 
-    # Called as the responses have been taken, before anything else is handled.
+    # Called once the responses were written, before pending messages are handled.
     connections.close_if_finished = record_and_close
     assert not client.front.attempts(REQUEST_ID.decode())
     client.read_response()
@@ -97,4 +98,4 @@
     attempt = client.front.wait_for_attempts(REQUEST_ID.decode(), 1)
     attempt.sock.sendall(REQUEST_ID + with_entity_fields(b" HIT - 2\r\nok\r\n"))
     last_response = resp_array(b"%d" % TAG, b"ok", b"", b"ok")
-    assert read_bytes(client.sock, len(last_response) + 1) == last_response  # and then the end
+    assert read_bytes(client.sock, len(last_response) + 1) == last_response  # then the stream ends
--- a/tests/transport/test_sockets.py
+++ b/tests/transport/test_sockets.py
@@ -1,4 +1,4 @@
-"""Calls on sockets that fail for now, and writes and accepts that go on."""
+"""Socket calls: retries after transient errors, writes with a time limit, accepting after an exception."""
 
 import errno
 import time
@@ -21,7 +21,7 @@
 
 
 class FailingSocket:
-    """A socket whose first calls fail with that error, so many times."""
+    """A socket whose first `failures` reads fail with the error number `error`."""
 
     def __init__(self, error: int, failures: int) -> None:
         self.error, self.failures_left, self.calls = error, failures, 0
@@ -47,11 +47,11 @@
     ("error", "failures", "calls"),
     [
         (errno.ENOMEM, 3, 4),
-        (errno.ENOBUFS, 10_000, sockets.MAX_RETRIES + 1),  # within a bound
+        (errno.ENOBUFS, 10_000, sockets.MAX_RETRIES + 1),  # gives up after `MAX_RETRIES` retries
         (errno.ECONNRESET, 1, 1),
     ],
 )
-def test_a_call_that_fails_transiently_is_repeated_within_a_bound(monkeypatch, error, failures, calls):
+def test_a_call_with_a_transient_error_is_retried_up_to_a_limit(monkeypatch, error, failures, calls):
     monkeypatch.setattr(sockets, "RETRY_PAUSE_S", 0)
     sock = FailingSocket(error, failures)
     if calls == failures + 1:
@@ -63,7 +63,7 @@
     assert sock.calls == calls
 
 
-def test_a_write_to_a_peer_that_reads_nothing_ends_in_time():
+def test_a_write_to_a_peer_that_reads_nothing_ends_at_its_limit():
     ours, theirs = socket.socketpair()
     loop = StalledLoop()
     loop.now = time.monotonic_ns
@@ -95,7 +95,7 @@
 
 
 def test_datagrams_wait_until_their_address_is_free(front):
-    """A front starts without them where their address is still reserved, and has them once it is free."""
+    """A front starts without datagrams while their address is in use, and binds it once it is free."""
     reserved = bound_socket(socket.SOCK_DGRAM)
     other = bound_socket(socket.SOCK_DGRAM)
     anti_entropy = AntiEntropy(1_000_000_000, 1_000_000_000, time.monotonic_ns())
@@ -103,7 +103,7 @@
     peers = PeerSocket(*addresses, lambda _update: None, lambda: 0, front.guard)
     running = gevent.spawn(peers.run)
     peers.send_data(b"x", other.getsockname())
-    assert front.counters.counts["peer.not_sent"] == 1  # its receiver would not know another address
+    assert front.counters.counts["peer.not_sent"] == 1  # its peer would ignore any other sender address
     reserved.close()
     wait_until(lambda: peers.is_bound)
     peers.send_data(b"y", other.getsockname())
@@ -113,15 +113,15 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOMEM, errno.ENOBUFS])
-def test_a_peek_that_failed_transiently_shows_neither_an_end_nor_that_all_is_read(error):
-    """It proves no end, and not that nothing lies unread."""
+def test_a_transient_error_of_peek_proves_neither_the_end_nor_an_empty_socket(error):
+    """Otherwise a connection in use could be taken for one that has ended or has no unread bytes."""
     sock = FailingSocket(error, 10)
     assert sockets.receive_available(sock) is None
     assert sockets.peek(sock) is None
     assert not sockets.has_ended(sock) and sockets.has_unread_bytes(sock)
 
 
-def test_a_poll_that_failed_transiently_shows_no_end(monkeypatch):
+def test_a_transient_error_of_poll_does_not_count_as_the_end(monkeypatch):
     class FailingPoll:
         def register(self, *arguments: int) -> None:
             pass
--- a/tests/transport/test_upstream_client.py
+++ b/tests/transport/test_upstream_client.py
@@ -25,7 +25,7 @@
         (b"t9 HIT - 1\r\nx\r\nt1 HIT - 1\r\ny\r\n", AttemptResult.OK, b"y", False),
     ],
 )
-def test_each_response_status_gives_its_result(front, response, result, body, not_modified):
+def test_each_response_status_is_mapped_to_its_result(front, response, result, body, not_modified):
     ended = front.execute_attempt(tag="4be0c1927d55a6f3", meanwhile=front.cache_responds(response))
     assert (ended.result, ended.response.body, ended.not_modified) == (result, body, not_modified)
     front.upstream_client.release_body(ended)
@@ -49,7 +49,7 @@
         b"t1 HIT entity=4be0c1927d55a6f3,issued=5 3000000000\r\nxxxx",
     ],
 )
-def test_a_response_that_does_not_fit_its_request_closes_the_connection(front, response):
+def test_a_response_that_does_not_match_its_request_closes_the_connection(front, response):
     assert front.execute_attempt(meanwhile=front.cache_responds(response)).result is AttemptResult.RESET
     wait_until(lambda: front.upstream_client.connection_count == 0)
     assert (
@@ -91,7 +91,7 @@
     assert len(front.cache.sockets) == 1 and front.counters.counts["upstream.connection_reused"] == 1
 
 
-def test_a_refused_connection_is_a_failed_connect(front):
+def test_a_refused_connection_ends_the_attempt_as_connect_failed(front):
     front.cache.close()
     assert (
         front.execute_attempt().result is AttemptResult.CONNECT_FAILED
@@ -128,7 +128,7 @@
     )
 
 
-def test_a_connection_with_bytes_behind_its_response_is_not_reused(front):
+def test_a_connection_with_bytes_after_its_response_is_not_reused(front):
     front.execute_attempt(meanwhile=front.cache_responds(b"t1 NONE - 0\r\n\r\nt1 NO"))
     front.execute_attempt(
         request_id="t2", meanwhile=front.cache_responds(b"t2 NONE - 0\r\n\r\n", connection=-1, after_lines=2)
@@ -235,7 +235,7 @@
     front.cache.wait_for_lines(1)
     attempts += [gevent.spawn(front.execute_attempt, 500, request_id) for request_id in ("b", "c")]
     front.cache.wait_for_lines(3)
-    attempts[1].kill()  # its client left: it is cancelled, and the others go on
+    attempts[1].kill()  # as if its client left: it is cancelled, and the other two continue
     assert front.cache.wait_for_lines(4) == "undo b" and len(front.cache.sockets) == 1
     pool = front.upstream_client.pool.by_upstream[front.upstreams.by_id["s1"].upstream]
     assert next(iter(pool.connections)).unanswered
@@ -262,7 +262,7 @@
     assert len(ended.response.body) == 500 and front.body_budget.free_bytes == 500
 
 
-def test_the_status_shows_what_the_policy_knows_of_an_upstream_beside_its_connections(front):
+def test_the_status_lists_the_policy_state_and_the_connections_of_an_upstream(front):
     sock = front.connect_client()
     sock.sendall(front.request(7))
     front.cache.wait_for_lines(1)
--- a/tests/transport/test_upstream_connection_end.py
+++ b/tests/transport/test_upstream_connection_end.py
@@ -1,6 +1,6 @@
 """Races over loopback at the end of a connection to a cache; `docs/crossings.md` has a line for each.
 
-Stand-ins that hold and release bytes force the order of events, as do calls into the front.
+Stub servers that hold back bytes and direct calls to the front force the order of events.
 """
 
 import os
@@ -22,9 +22,9 @@
 
 @pytest.fixture
 def stalled_cache(front):
-    """A cache that reads nothing more of the only connection allowed.
+    """A cache that stops reading from the only connection allowed, after one attempt.
 
-    With it: the attempt that was written to the connection, the cache's side, and a function that reads on.
+    Yields the greenlet of that attempt, the cache's socket, and a function that reads up to some bytes.
     """
     front.upstream_client.pool.max_connections = 1
     front.body_budget.max_bytes = front.body_budget.free_bytes = 1 << 20
@@ -43,7 +43,7 @@
     sock.close()
 
 
-LARGE_BODY = b"x" * (12 << 20)  # far more than the buffers of both sides hold
+LARGE_BODY = b"x" * (12 << 20)  # far more than the socket buffers of both sides hold
 
 
 @pytest.mark.parametrize("end", ["client left", "time-out"])
@@ -58,7 +58,7 @@
         assert half.get(timeout=TIMEOUT_SECONDS).result is AttemptResult.TIMEOUT
     sock.sendall(with_entity_fields(b"first HIT - 1\r\nx\r\n"))
     assert first.get(timeout=TIMEOUT_SECONDS).response.body == b"x"
-    # Nothing is in flight on it, and nobody waits for the rest of the request.
+    # The connection is closed, as no request is in flight on it and the rest of the request is useless.
     wait_until(lambda: not front.upstream_client.connection_count)
 
 
@@ -119,7 +119,7 @@
         assert (len(front.cache.sockets), server.line_sockets[0]) == (
             1 + (server_name == "cache"),
             server.sockets[-1],
-        )  # nothing was written to the first one
+        )  # nothing was written to the first connection
         server.line_sockets[0].sendall(with_entity_fields(b"t1 HIT - 1\r\nx\r\n"))
         assert attempt.get(timeout=TIMEOUT_SECONDS).response.body == b"x"
         assert len(front.cache.lines) + len(other.lines) == 1
@@ -139,7 +139,7 @@
     front.cache.wait_for_lines(2)
     front.cache.sockets[1].sendall(with_entity_fields(b"b HIT - 300\r\n"))
     wait_until(lambda: len(front.body_budget.waiting) == 2)
-    lost.kill()  # its client left: the connection ends, and with it the wait
+    lost.kill()  # as if its client left: the connection closes, which ends the wait for budget
     wait_until(lambda: not front.body_budget.has_waiters)
     front.cache.sockets[1].sendall(b"x" * 300 + b"\r\n")
     assert (
@@ -158,8 +158,8 @@
     assert len(front.upstream_client.pool.by_upstream[cache].idle) == 1 and not front.cache.lines
 
 
-def idle_connection(front):
-    """An idle connection that has carried one attempt, and the cache's side of it."""
+def create_idle_connection(front):
+    """Return an idle connection that was used for one attempt, and the cache's socket of it."""
     ended = front.execute_attempt(meanwhile=front.cache_responds(b"t1 HIT - 1\r\nx\r\n"))
     assert ended.response.body == b"x"
     (connection,) = front.upstream_client.pool.by_upstream[front.upstreams.by_id["s1"].upstream].idle
@@ -168,13 +168,13 @@
 
 @pytest.mark.parametrize("end", ["closed", "reset"])
 def test_a_connection_that_the_cache_has_just_closed_is_not_reused(front, end):
-    connection, cache_sock = idle_connection(front)
+    connection, cache_sock = create_idle_connection(front)
     if end == "reset":
         cache_sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         os.close(cache_sock.detach())
     else:
         cache_sock.shutdown(socket.SHUT_WR)
-    # No greenlet has run since: the connection's reader has not read the end.
+    # No other greenlet has run since, so the reader of the connection has not read the end yet.
     ended = front.execute_attempt(
         request_id="t2", meanwhile=front.cache_responds(b"t2 HIT - 1\r\ny\r\n", 1, 2)
     )
@@ -182,8 +182,8 @@
 
 
 def test_an_attempt_of_which_no_byte_was_written_counts_as_not_run(front, monkeypatch):
-    """The connection ends between the check for its end and the write."""
-    _connection, cache_sock = idle_connection(front)
+    """The connection ends after the pool has checked for its end and before the write."""
+    _connection, cache_sock = create_idle_connection(front)
     monkeypatch.setattr(connection_pool, "has_ended", lambda _sock: False)
     cache_sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     os.close(cache_sock.detach())
