--- a/marbleglade/transport/attempt_check.py
+++ b/marbleglade/transport/attempt_check.py
@@ -35,10 +35,10 @@
     """Decides just before an attempt is written whether it may still be sent.
 
     Args:
-        purged_since: Returns whether the object of a request was purged since a given time of `clock`.
+        purged_since: Returns whether the object of a request was purged since a given time, ns of `clock`.
         apply_pending_events: Applies watch events that have reached this machine but are still unread.
         clock: The monotonic clock, ns.
-        guard: Counts and logs what fails.
+        guard: Counts and logs errors.
     """
 
     def __init__(
--- a/marbleglade/transport/cache_server.py
+++ b/marbleglade/transport/cache_server.py
@@ -49,7 +49,7 @@
         max_connections: The most connections open at a time; further ones are closed at once.
         idle_timeout: Time after which an idle connection is closed, ns.
         accepts_requests: Returns whether new requests are accepted; if not, health checks report unhealthy.
-        guard: Counts and logs what fails.
+        guard: Counts and logs errors.
         loop: The monitor of the event loop; None: a monitor that does not run.
 
     Attributes:
@@ -105,7 +105,7 @@
         gevent.spawn(self._read, connection)
 
     def sweep(self) -> None:
-        """Close connections that are idle, or whose partial request is not completed."""
+        """Close connections that are idle, or whose partial request was not completed in time."""
         now = clock.now()
         for connection in [each for each in self.connections if not each.open_requests]:
             idle = now - connection.active_at > self.idle_timeout
--- a/marbleglade/transport/connection_pool.py
+++ b/marbleglade/transport/connection_pool.py
@@ -22,10 +22,10 @@
 
 
 class PoolLimits(NamedTuple):
-    """Bounds of the connections to upstreams.
+    """Limits on the connections to upstreams.
 
     Attributes:
-        max_connections: Connections to all upstreams together.
+        max_connections: The most connections to all upstreams together.
         connect_timeout: Time-out of connecting, ns.
         idle_timeout: Time after which upstreams close an idle connection, ns; 0: never.
         max_streams: The most requests in flight on a shared connection.
@@ -46,7 +46,7 @@
     Args:
         upstreams: The known upstreams with their addresses.
         body_budget: The budget to which a closed connection returns its reserved bytes.
-        limits: Bounds of the connections.
+        limits: Limits on the connections.
         clock: The monotonic clock, ns.
         counters: Counts connections opened, reused, shared and closed.
         read: Reads the responses of a new connection until it ends; runs in a greenlet.
--- a/marbleglade/transport/discovery_watch.py
+++ b/marbleglade/transport/discovery_watch.py
@@ -38,7 +38,7 @@
         address: Host and port of the service.
         last_index: Index of the last event that was handled before.
         callbacks: The functions that handle the events.
-        guard: Counts and logs what fails.
+        guard: Counts and logs errors.
         loop: The monitor of the event loop; None: unread events are checked for before every attempt.
         accept_index_restart: Whether the service may restart its indexes; if not, lower indexes are old ones.
         silence_timeout_s: Seconds without a line after which another connection is opened.
--- a/marbleglade/transport/event_sequence.py
+++ b/marbleglade/transport/event_sequence.py
@@ -49,7 +49,7 @@
     Args:
         last_index: Index of the last event that was handled before.
         callbacks: The functions that handle the events.
-        guard: Counts and logs what fails.
+        guard: Counts and logs errors.
         accept_restart: Whether the service may restart its indexes; if not, lower indexes are old ones.
 
     Attributes:
--- a/marbleglade/transport/response_reader.py
+++ b/marbleglade/transport/response_reader.py
@@ -30,7 +30,7 @@
     Args:
         pool: The pool to which free connections are released, and which closes failed ones.
         body_budget: The budget for response bodies in memory.
-        guard: Counts and logs what fails.
+        guard: Counts and logs errors.
     """
 
     def __init__(self, pool: ConnectionPool, body_budget: BodyBudget, guard: ErrorGuard) -> None:
--- a/marbleglade/transport/sockets.py
+++ b/marbleglade/transport/sockets.py
@@ -48,7 +48,7 @@
         max_wait_ns: How long binding is retried, ns.
 
     Raises:
-        OSError: Binding still failed after `max_wait_ns`.
+        OSError: Binding still failed after `max_wait_ns`, or listening failed.
     """
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     deadline = clock.now() + max_wait_ns
@@ -68,7 +68,7 @@
     """Return a socket that listens at an address. Failures are retried, and the first one is logged.
 
     Raises:
-        OSError: Binding still failed after `MAX_BIND_WAIT_NS`.
+        OSError: Binding still failed after `MAX_BIND_WAIT_NS`, or listening failed.
     """
 
     def log_first_failure(error: OSError, count: int) -> None:
--- a/marbleglade/transport/upstream_client.py
+++ b/marbleglade/transport/upstream_client.py
@@ -37,10 +37,10 @@
     Args:
         upstreams: The known upstreams.
         body_budget: The budget for response bodies in memory.
-        limits: Bounds of the connections.
+        limits: Limits on the connections.
         clock: The monotonic clock, ns.
-        guard: Counts and logs what fails.
-        purged_since: Returns whether the object of a request was purged since a given time of `clock`.
+        guard: Counts and logs errors.
+        purged_since: Returns whether the object of a request was purged since a given time, ns of `clock`.
         apply_pending_events: Applies watch events that have reached this machine but are still unread.
     """
 
