--- a/marbleglade/__init__.py
+++ b/marbleglade/__init__.py
@@ -1,3 +1,3 @@
-"""marbleglade: a front for caches of large objects behind thin links."""
+"""marbleglade: a reverse proxy in front of caches that hold large objects behind low-bandwidth links."""
 
 __version__ = "0.2.0"
--- a/marbleglade/__main__.py
+++ b/marbleglade/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m marbleglade`: one front of the platform; with arguments, the command line."""
+"""`python -m marbleglade`: runs a front; with arguments, runs the command line."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 
 EXIT_INVALID = 2
-SERVER_COMMANDS = (["front"], ["gateway"], ["control", "run"])  # those that run until a signal ends them
+SERVER_COMMANDS = (["front"], ["gateway"], ["control", "run"])  # these run until a signal stops them
 
 
 def run_front() -> int:
     """Run a front; return 0 after its graceful shutdown, 2 if the configuration is invalid."""
-    gc.disable()  # what the start creates stays; `FrontProcess.start` enables it again
+    gc.disable()  # objects created at startup live on; `FrontProcess.start` enables the collector again
     from .runtime.errors import InvalidConfigurationError
     from .service import front_process, startup_configuration
 
@@ -26,17 +26,17 @@
 
 
 def run_command() -> int:
-    """Run the command that the arguments name; return the exit code."""
+    """Run the command named by the arguments; return its exit code."""
     from .cli import main as run_command_line
 
     return run_command_line()
 
 
 def run_server(run: Callable[[], int]) -> int:
-    """Run a program that serves, with its signals under control from its start to its end."""
+    """Run a server program; its signals are held until it handles them, and ignored once it has ended."""
     from .runtime.process_signals import process_signals
 
-    process_signals.hold()  # before the other imports, which take a while
+    process_signals.hold()  # before the other imports, which are slow
     try:
         return run()
     finally:
@@ -44,7 +44,7 @@
 
 
 def main() -> int:
-    """Run a front, or the command that the arguments name; return the exit code."""
+    """Run a front, or the command named by the arguments; return the exit code."""
     arguments = sys.argv[1:]
     if not arguments:
         return run_server(run_front)
--- a/marbleglade/runtime/__init__.py
+++ b/marbleglade/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Used by all other packages: clocks, logs, counters, errors, addresses, time-outs, event-loop monitor."""
+"""Basics for all other packages: clocks, logs, counters, errors, addresses, timeouts, event-loop monitor."""
--- a/marbleglade/runtime/clock.py
+++ b/marbleglade/runtime/clock.py
@@ -1,9 +1,9 @@
-"""The clocks of this process: monotonic nanoseconds, and Unix time that no step of the wall clock moves.
+"""The clocks of this process: monotonic time, and Unix time that is not affected by steps of the wall clock.
 
-Other processes state times in Unix time; these are compared with each other, and durations since them are
-computed. Both need one conversion for the lifetime of the process: the wall clock may be stepped by an hour
-at any moment, and two times converted before and after a step would change their order. So the offset between
-the two clocks is measured once, when the process starts. Only logs show the wall clock itself.
+Other processes send Unix times. This process compares them with each other and computes how long ago they
+were. The wall clock may be stepped by an hour at any moment, which would swap the order of two times that
+are converted before and after the step. So the offset between the two clocks is measured once, when the
+process starts, and used for all conversions. Only log lines show the wall clock itself.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 from .units import MILLISECOND_NS
 
-OFFSET_READINGS = 5  # the shortest counts: the process may be preempted between the clocks
+OFFSET_READINGS = 5  # the fastest one is used: the process may be preempted between two clock readings
 
 now = time.monotonic_ns
 
 
 def _measure_unix_offset() -> int:
-    """Return Unix time minus the monotonic clock, ns, from the reading of both that took the least time."""
+    """Return Unix time minus monotonic time, ns, from the fastest of `OFFSET_READINGS` readings of both."""
     shortest = 0
     offset = 0
     for _ in range(OFFSET_READINGS):
@@ -35,17 +35,17 @@
 
 
 def unix_ns() -> int:
-    """Return the present Unix time, ns, by the offset measured when the process started."""
+    """Return the current Unix time, ns, computed with the offset measured when the process started."""
     return now() + _unix_offset
 
 
 def to_unix_ms(monotonic_ns: int) -> int:
-    """Convert a time of the monotonic clock to a Unix millisecond."""
+    """Convert a time of the monotonic clock, ns, to Unix time in milliseconds."""
     return (monotonic_ns + _unix_offset) // MILLISECOND_NS
 
 
 def from_unix_ms(unix_ms: int) -> int:
-    """Convert a Unix millisecond to a time of the monotonic clock, ns; it may be in the future."""
+    """Convert Unix time in milliseconds to a time of the monotonic clock, ns, which may be in the future."""
     return unix_ms * MILLISECOND_NS - _unix_offset
 
 
--- a/marbleglade/runtime/counters.py
+++ b/marbleglade/runtime/counters.py
@@ -1,4 +1,4 @@
-"""Counters of a process: events, and violated invariants."""
+"""Counters of a process, for events and violated invariants."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
     """Named counters.
 
     Args:
-        strict: A violated invariant also raises AssertionError, as in tests; without it, it is only counted.
+        strict: If true, as in tests, a violated invariant raises AssertionError and is counted; if false, it
+            is only counted.
     """
 
     def __init__(self, strict: bool = __debug__) -> None:
@@ -17,17 +18,17 @@
         self.strict = strict
 
     def add(self, name: str, count: int = 1) -> None:
-        """Add to a counter."""
+        """Increase a counter by `count`."""
         self.counts[name] += count
 
     def check(self, holds: bool, name: str) -> bool:
-        """Check an invariant: count it under `violated_invariant.NAME` if it does not hold.
+        """Check an invariant, and count it under `violated_invariant.NAME` if it does not hold.
 
         Returns:
-            Whether it holds.
+            Whether the invariant holds.
 
         Raises:
-            AssertionError: It does not hold, and the counters are strict.
+            AssertionError: The invariant does not hold, and the counters are strict.
         """
         if not holds:
             self.counts[f"violated_invariant.{name}"] += 1
--- a/marbleglade/runtime/error_guard.py
+++ b/marbleglade/runtime/error_guard.py
@@ -1,4 +1,4 @@
-"""Guard that confines an unexpected exception to the work that raised it."""
+"""Guard that confines an unexpected exception to the operation that raised it."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     """Counts and logs unexpected exceptions.
 
     Args:
-        counters: Counts them under `exception.WHERE`.
-        log: Receives an event `exception` for each.
+        counters: Counts each exception under `exception.WHERE`.
+        log: Receives an event `exception` for each exception.
     """
 
     def __init__(self, counters: Counters, log: Log) -> None:
@@ -30,7 +30,7 @@
         )
 
     def call(self, where: str, function: Callable[..., object], *arguments: object) -> object:
-        """Call a function and return its result; an exception is recorded, and the result is None."""
+        """Call a function and return its result; if it raises an exception, record that and return None."""
         try:
             return function(*arguments)
         except Exception as error:
--- a/marbleglade/runtime/json_log.py
+++ b/marbleglade/runtime/json_log.py
@@ -1,6 +1,7 @@
-"""Log of a process: one JSON line an event on standard error, written without blocking.
+"""Log of a process: one JSON line per event on standard error, written without blocking.
 
-A line that would block is dropped and counted. The rest of a line that was written in part precedes the next.
+A line whose write would block is dropped and counted. If only a part of a line could be written, its rest is
+written before the next line.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
     """Writes events as JSON lines.
 
     Args:
-        name: Name of the process, in the field `front` of each line.
+        name: Name of the process, written in the field `front` of each line.
         counters: Counts dropped lines under `log.dropped`.
-        debug: Events of `debug` are written too.
-        sink: File descriptor to write to; None: standard error.
+        debug: Whether events passed to `debug` are written too.
+        sink: File descriptor to write to; None for standard error.
     """
 
     def __init__(self, name: str, counters: Counters, debug: bool = False, sink: int | None = None) -> None:
@@ -31,7 +32,7 @@
         self.counters = counters
         self.debug_on = debug
         self.sink = sys.stderr.fileno() if sink is None else sink
-        self.unwritten = bytearray()  # the rest of a line that was written in part
+        self.unwritten = bytearray()  # the rest of a partly written line
 
     def info(self, event: str, **fields: object) -> None:
         """Write an event."""
@@ -48,7 +49,7 @@
             self.info(event, **fields)
 
     def write(self, line: bytes) -> None:
-        """Write a line as far as that does not block; drop and count it if nothing of it can be written."""
+        """Write as much of a line as does not block; drop and count it if no byte of it can be written."""
         self._write_unwritten()
         if not self.unwritten:
             self.unwritten += line
@@ -59,8 +60,8 @@
         self.counters.add("log.dropped")
 
     def _write_unwritten(self) -> None:
-        # In pieces of PIPE_BUF: a pipe that is ready takes so much at once, and would block on a longer write
-        # (the counters of a front with many upstreams) if nobody reads it.
+        # Writes at most PIPE_BUF bytes at once. A pipe that is ready accepts that much; a longer write (such
+        # as the counters of a front with many upstreams) would block on a pipe that nobody reads.
         try:
             while self.unwritten and select.select([], [self.sink], [], 0)[1]:
                 del self.unwritten[: os.write(self.sink, self.unwritten[: select.PIPE_BUF])]
--- a/marbleglade/runtime/loop_monitor.py
+++ b/marbleglade/runtime/loop_monitor.py
@@ -1,11 +1,12 @@
-"""Measures by how much the event loop of this process is delayed.
+"""Measures the delay of the event loop of this process.
 
-A process that is stopped, or shares its core with others, reads what arrived only once it runs again.
-A timer of the loop ticks every `TICK_PERIOD_NS`: a longer gap between two ticks is a delay. Only ticks are
-recorded, not each poll, of which there are thousands a second.
+A process that is stopped, or that shares its core with other processes, reads incoming data only when it runs
+again. A timer of the loop ticks every `TICK_PERIOD_NS`; the excess of a longer gap between two ticks is a
+delay. Only ticks are recorded. Recording every poll would cost too much: there are thousands per second.
 
-`transport.arrival` bounds arrival times by the ticks, `runtime.timeouts.TimeLimit` leaves delays out, the
-policy adds the mean delay to what it predicts, and a shutdown gives up requests earlier by the recent delay.
+`transport.arrival` uses the ticks to bound arrival times, `runtime.timeouts.TimeLimit` does not count delays,
+the policy adds the mean delay to its predictions, and a shutdown ends open requests earlier by the recent
+delay.
 """
 
 from __future__ import annotations
@@ -19,20 +20,20 @@
 from .units import MICROSECOND_NS, MILLISECOND_NS, SECOND_NS
 
 TICK_PERIOD_NS = 10 * MILLISECOND_NS
-LATE_GAP_NS = 100 * MILLISECOND_NS  # a longer gap between two ticks is logged
-REPORT_PERIOD_NS = SECOND_NS  # between two such log events, at least
-GAP_FADE_NS = 5 * SECOND_NS  # time in which a long gap fades from the recent delay
-MEAN_WEIGHT = 1 / 64  # of one tick in the mean delay, so that a single stop hardly changes it
+MIN_LOGGED_GAP_NS = 100 * MILLISECOND_NS  # longer gaps between two ticks are logged
+MIN_LOG_INTERVAL_NS = SECOND_NS  # minimum time between two log events `loop_late`
+RECENT_GAP_DECAY_NS = 5 * SECOND_NS  # time constant with which a long gap decays in the recent delay
+MEAN_DELAY_WEIGHT = 1 / 64  # weight of one tick, so low that a single stop hardly changes the mean delay
 
 
 class LoopMonitor:
-    """Records when the event loop runs, and how long incoming data has to wait for it.
+    """Records when the event loop runs and how long incoming data waits to be read.
 
-    Before `start` it reports no delays.
+    Before `start`, no delays are reported.
 
     Args:
         clock: The monotonic clock, ns.
-        log: Receives an event `loop_late` for long gaps.
+        log: Receives an event `loop_late` for gaps longer than `MIN_LOGGED_GAP_NS`.
 
     Attributes:
         ticks: Number of ticks.
@@ -49,14 +50,14 @@
         self._third_last_tick = 0
         self._fourth_last_tick = 0
         self._mean_delay = 0.0
-        self._recent_gap = 0.0  # the longest gap between two ticks, reduced as time passes
-        self._reported_at = 0
+        self._recent_gap = 0.0  # longest gap between two ticks, ns, which decays over time
+        self._logged_at = 0
         self.longest_gap = 0
         self.total_delay = 0
         self._timer: Any = None
 
     def start(self) -> None:
-        """Start to monitor the loop of the calling thread."""
+        """Start monitoring the event loop of the calling thread."""
         now = self.now()
         self._last_tick = self._second_last_tick = self._third_last_tick = self._fourth_last_tick = now
         period_s = TICK_PERIOD_NS / SECOND_NS
@@ -77,29 +78,29 @@
 
     @property
     def last_tick(self) -> int:
-        """Time of the last tick, ns; the present moment if the loop is not monitored."""
+        """Time of the last tick, ns; the current time if the loop is not monitored."""
         return self._last_tick if self.watching else self.now()
 
     @property
     def sockets_empty_at(self) -> int:
-        """The latest moment, ns, at which any socket was certainly empty whose reader still waits.
+        """Time, ns, at which every socket whose reader is still waiting is known to have been empty.
 
-        Data that is read next arrived after that moment. The loop polls between any two ticks, and runs the
-        readers of a poll after the tick that follows it. So at the last tick the readers of the poll before
-        the second last tick have run, and a socket that this poll did not report was empty at the tick before
-        it, the third last. A signal may have interrupted that poll, so the poll before it counts, and with it
-        the fourth last tick.
+        Any data that is read next arrived after this time. The loop polls between every two ticks, and runs
+        the readers of a poll after the tick that follows the poll. So at the last tick, the readers of the
+        poll before the second last tick have run. A socket that this poll did not report was empty at the
+        tick before the poll, which is the third last. A signal may have interrupted that poll, so the one
+        before it is used, which gives the fourth last tick.
         """
         return self._fourth_last_tick if self.watching else self.now()
 
     def total_delay_until(self, now: int) -> int:
-        """Return the sum of all delays, ns, including that of the tick that is due at `now`."""
+        """Return the sum of all delays, ns, including the delay at `now` of a tick that is overdue."""
         if not self.watching:
             return self.total_delay
         return self.total_delay + max(0, now - self._last_tick - TICK_PERIOD_NS)
 
     def mean_delay(self) -> int:
-        """Return the mean delay of a tick, ns, which is also that of incoming data."""
+        """Return the mean delay of a tick, ns, which is also the mean delay of incoming data."""
         return int(self._mean_delay)
 
     def recent_delay(self) -> int:
@@ -107,7 +108,7 @@
         return max(0, int(self._recent_gap) - TICK_PERIOD_NS)
 
     def snapshot(self) -> dict[str, int]:
-        """Return the figures for the event `counters`."""
+        """Return the measurements that the log event `counters` contains."""
         return {
             "ticks": self.ticks,
             "mean_delay_us": self.mean_delay() // MICROSECOND_NS,
@@ -125,16 +126,16 @@
         self.ticks += 1
         delay = max(0, gap - TICK_PERIOD_NS)
         self.total_delay += delay
-        self._mean_delay += (delay - self._mean_delay) * MEAN_WEIGHT
-        self._recent_gap = max(gap, self._recent_gap * max(0.0, 1 - gap / GAP_FADE_NS))
+        self._mean_delay += (delay - self._mean_delay) * MEAN_DELAY_WEIGHT
+        self._recent_gap = max(gap, self._recent_gap * max(0.0, 1 - gap / RECENT_GAP_DECAY_NS))
         self.longest_gap = max(self.longest_gap, gap)
-        if gap > LATE_GAP_NS:
-            self._report(gap, now)
+        if gap > MIN_LOGGED_GAP_NS:
+            self._log_late_tick(gap, now)
 
-    def _report(self, gap: int, now: int) -> None:
+    def _log_late_tick(self, gap: int, now: int) -> None:
         self._log.counters.add("loop.late")
-        if now - self._reported_at > REPORT_PERIOD_NS:
-            self._reported_at = now
+        if now - self._logged_at > MIN_LOG_INTERVAL_NS:
+            self._logged_at = now
             self._log.info(
                 "loop_late", gap_us=gap // MICROSECOND_NS, mean_delay_us=self.mean_delay() // MICROSECOND_NS
             )
--- a/marbleglade/runtime/shutdown.py
+++ b/marbleglade/runtime/shutdown.py
@@ -1,61 +1,63 @@
-"""Graceful shutdown: after SIGTERM a front answers until nothing is open and no client may connect."""
+"""Graceful shutdown: after SIGTERM, a front serves until no request is open and no client may connect."""
 
 from __future__ import annotations
 
 from .units import MILLISECOND_NS, SECOND_NS
 
-# Given by the platform: for how long new clients may connect after SIGTERM, and the least time that a front
-# with open requests then still has before it is killed.
-NEW_CLIENTS_NS = 700 * MILLISECOND_NS
+# Set by the platform: the time after SIGTERM in which new clients may connect, and the minimum time between
+# its end and the kill of a front that has open requests.
+CONNECT_WINDOW_NS = 700 * MILLISECOND_NS
 GUARANTEED_DRAIN_NS = 3 * SECOND_NS
 
-# The part of the drain that is left for writing the last responses.
+# Fractions of the drain time and of the connect window that are reserved for writing the last responses.
 DRAIN_MARGIN_DIVISOR = 10
-NEW_CLIENTS_MARGIN_DIVISOR = 7
+CONNECT_WINDOW_MARGIN_DIVISOR = 7
 
 
 class GracefulShutdown:
-    """Decides when open requests are given up and when the process may exit.
+    """Decides when open requests are ended early, and when the process may exit.
 
     Args:
-        longest_timeout: The longest client timeout of a request, ns.
+        longest_timeout: The longest client timeout of any request class, ns.
 
     Attributes:
-        requested_at: When the shutdown was requested, ns; 0: it was not.
-        signal_arrived_at: The earliest moment at which the signal may have arrived, ns.
-        give_up_after: ns from the arrival of the signal until open requests are given up.
+        requested_at: When the shutdown was requested, ns; 0 if it was not requested.
+        signal_arrived_at: The earliest time at which the signal may have arrived, ns.
+        give_up_after: Time from the arrival of the signal until open requests are ended, ns.
     """
 
     def __init__(self, longest_timeout: int) -> None:
         self.requested_at = 0
         self.signal_arrived_at = 0
-        # A margin before the kill, as responses still have to be written: a tenth of the drain, or a seventh
-        # of NEW_CLIENTS_NS where the drain is short.
+        # Reserves a margin before the kill for writing responses: a tenth of the drain time, or a seventh of
+        # CONNECT_WINDOW_NS if that is more.
         drain = min(longest_timeout, GUARANTEED_DRAIN_NS)
-        margin = max(drain // DRAIN_MARGIN_DIVISOR, NEW_CLIENTS_NS // NEW_CLIENTS_MARGIN_DIVISOR)
-        self.give_up_after = NEW_CLIENTS_NS + max(0, drain - margin)
+        margin = max(drain // DRAIN_MARGIN_DIVISOR, CONNECT_WINDOW_NS // CONNECT_WINDOW_MARGIN_DIVISOR)
+        self.give_up_after = CONNECT_WINDOW_NS + max(0, drain - margin)
 
     def request(self, now: int, arrived_at: int = 0) -> None:
-        """Request the shutdown; only the first request counts.
+        """Record a request to shut down; only the first one takes effect.
 
         Args:
-            now: The present moment, ns; clients may connect until `NEW_CLIENTS_NS` later.
-            arrived_at: The earliest moment at which the signal may have arrived, from which the time until
-                the kill counts, ns; 0: now.
+            now: The current time, ns; clients may connect for another `CONNECT_WINDOW_NS`.
+            arrived_at: The earliest time at which the signal may have arrived, ns, from which the time until
+                the kill is counted; 0 for `now`.
         """
         self.signal_arrived_at = self.signal_arrived_at or arrived_at or now
         self.requested_at = self.requested_at or now
 
     def must_give_up(self, now: int, recent_delay: int = 0) -> bool:
-        """True if open requests have to be given up now, so that they are answered before the kill.
+        """Return whether open requests must be ended now, so that responses are written before the kill.
 
         Args:
-            now: The present moment, ns.
-            recent_delay: ns by which the event loop was recently delayed, as it may be again.
+            now: The current time, ns.
+            recent_delay: Recent delay of the event loop, ns, which may recur.
         """
         ahead = min(recent_delay, self.give_up_after // 2)
         return bool(self.requested_at) and now - self.signal_arrived_at >= self.give_up_after - ahead
 
     def may_exit(self, now: int, pending_responses: int) -> bool:
-        """True if no response is pending and clients that connect now need not be served."""
-        return bool(self.requested_at) and now - self.requested_at >= NEW_CLIENTS_NS and not pending_responses
+        """Return whether no response is pending and the connect window for new clients is over."""
+        return (
+            bool(self.requested_at) and now - self.requested_at >= CONNECT_WINDOW_NS and not pending_responses
+        )
--- a/marbleglade/runtime/stable_hash.py
+++ b/marbleglade/runtime/stable_hash.py
@@ -1,12 +1,12 @@
-"""A hash that is the same in every process, unlike `hash()`: fronts agree by it without messages."""
+"""A hash that is equal in every process, unlike `hash()`, so that fronts agree without sending messages."""
 
 from __future__ import annotations
 
-# hashlib has the same function from here; importing hashlib loads OpenSSL as well, which a front never uses.
+# hashlib.blake2b is this same function, but importing hashlib also loads OpenSSL, which a front never uses.
 from _blake2 import blake2b
 
 HASH_BYTES = 8
-HASH_LIMIT = 1 << (8 * HASH_BYTES)  # all hashes are below it
+HASH_LIMIT = 1 << (8 * HASH_BYTES)  # every hash is below this value
 
 
 def stable_hash(data: bytes) -> int:
--- a/marbleglade/runtime/structlog_log.py
+++ b/marbleglade/runtime/structlog_log.py
@@ -1,4 +1,4 @@
-"""Log with bound fields, through structlog: for all programs but the front."""
+"""Log with bound fields, based on structlog. All programs use it except the front."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 
 
 class _Sink:
-    """The logger that structlog passes its lines to; it never blocks."""
+    """The logger to which structlog passes encoded lines; it never blocks."""
 
     def __init__(self, log: Log) -> None:
         self.msg = log.write
 
 
 class StructlogLog(Log):
-    """A `Log` to which fields can be bound, as in `link_log = log.bind(link="west-1")`.
+    """A `Log` with fields bound to it, as in `link_log = log.bind(link="west-1")`.
 
     Args:
-        name: Name of the process, in the field `front` of each line.
+        name: Name of the process, written in the field `front` of each line.
         counters: Counts dropped lines.
-        debug: Events of `debug` are written too.
-        sink: File descriptor to write to; None: standard error.
+        debug: Whether events passed to `debug` are written too.
+        sink: File descriptor to write to; None for standard error.
     """
 
     def __init__(self, name: str, counters: Counters, debug: bool = False, sink: int | None = None) -> None:
@@ -55,7 +55,7 @@
         self.logger._proxy_to_logger("msg", event, **fields)
 
     def bind(self, **fields: object) -> StructlogLog:
-        """Return the same log with these fields in each line."""
+        """Return a log with the same sink and counters that adds these fields to each line."""
         bound = object.__new__(StructlogLog)
         bound.__dict__.update(self.__dict__)
         bound.logger = self.logger.bind(**fields)
--- a/marbleglade/runtime/timeouts.py
+++ b/marbleglade/runtime/timeouts.py
@@ -1,8 +1,8 @@
-"""Time-outs that expire only after everything that arrived in time was read.
+"""Timeouts that expire only after all data that arrived in time has been read.
 
-The event loop runs due timers before it reads sockets, and does not read at all in an iteration whose poll
-was interrupted by a stop of the process (EINTR). Callbacks, `gevent.sleep(0)` among them, run before the next
-poll. So a process that was delayed handles its time-outs first, and only then what had arrived in time.
+The event loop runs due timers before it reads sockets, and reads nothing in an iteration whose poll was
+interrupted by a stop of the process (EINTR). Callbacks, including `gevent.sleep(0)`, run before the next
+poll. So a process that was delayed would handle timeouts before the data that had arrived in time.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 from .loop_monitor import LoopMonitor
 from .units import SECOND_NS
 
-MIN_SLEEP_S = 1e-6  # a timer, so that the loop polls before it is due
+MIN_SLEEP_S = 1e-6  # not 0: the loop polls before a timer is due, but not before a callback
 
 
 class Awaitable(Protocol):
-    """What a greenlet can wait for: an `AsyncResult` or an `Event`."""
+    """Object that a greenlet can wait for: an `AsyncResult` or an `Event`."""
 
     def ready(self) -> bool:
-        """True once it was set."""
+        """Return whether the object is set."""
 
     def wait(self, timeout: float) -> object:
-        """Block until it is set, for at most `timeout` seconds."""
+        """Block until the object is set, for at most `timeout` seconds."""
 
 
 def read_arrived() -> None:
-    """Let readers read what has arrived, and the greenlets that this wakes run, before the caller resumes.
+    """Let all arrived data be read, and the greenlets that it wakes run, before the caller resumes.
 
-    The first sleep ends in an iteration that polls, before the readers of that iteration run; the second
-    sleep ends after these readers and the callbacks that they caused.
+    The first sleep ends in an iteration that polls, before the readers of that iteration run. The second
+    sleep ends after these readers and the callbacks that they scheduled have run.
     """
     gevent.sleep(MIN_SLEEP_S)
     gevent.sleep(MIN_SLEEP_S)
 
 
 def wait_until_ready(awaited: Awaitable, seconds: float) -> bool:
-    """Wait for `seconds` at most, and read what has arrived by then; true if `awaited` was set."""
+    """Wait at most `seconds`, read data that arrived by then, and return whether `awaited` is set."""
     awaited.wait(max(0.0, seconds))
     if not awaited.ready():
         read_arrived()
@@ -46,13 +46,14 @@
 
 
 class TimeLimit:
-    """A time limit for other processes, extended by the time for which this process was delayed itself.
+    """A time limit for other processes, extended by the delay of this process itself.
 
-    It expires even if the process is always delayed: a delay is shorter than the time in which it arises.
+    It expires even if this process is always delayed, because a delay is shorter than the gap between two
+    ticks in which it is measured.
 
     Args:
         loop: The monitor of the event loop.
-        deadline: When the limit expires without delays, ns of the loop's clock.
+        deadline: Time on the loop's clock at which the limit expires if there are no delays, ns.
     """
 
     def __init__(self, loop: LoopMonitor, deadline: int) -> None:
@@ -61,11 +62,11 @@
         self._total_delay = loop.total_delay_until(loop.now())
 
     def seconds_left(self) -> float:
-        """Return the seconds until `expired` should be called."""
+        """Return the time until `expired` should be called, in seconds."""
         return max(0, self._deadline - self._loop.now()) / SECOND_NS
 
     def expired(self) -> bool:
-        """True if the limit has expired; reads what has arrived before. Switches greenlets."""
+        """Return whether the limit has expired, after letting arrived data be read. Switches greenlets."""
         read_arrived()
         now = self._loop.now()
         total_delay = self._loop.total_delay_until(now)
--- a/marbleglade/runtime/units.py
+++ b/marbleglade/runtime/units.py
@@ -1,4 +1,4 @@
-"""Units of time, in nanoseconds: multiply by one to get nanoseconds, divide by it to leave them."""
+"""Units of time, in nanoseconds. Multiply a number of units by one to get nanoseconds."""
 
 from __future__ import annotations
 
--- a/marbleglade/service/__init__.py
+++ b/marbleglade/service/__init__.py
@@ -1,1 +1,1 @@
-"""The process of a front: startup configuration, wiring, reload, run and shutdown."""
+"""The process of a front: startup configuration, wiring, main loop, reload and shutdown."""
--- a/marbleglade/service/components.py
+++ b/marbleglade/service/components.py
@@ -26,13 +26,13 @@
 
 
 class ProcessComponents(NamedTuple):
-    """What all components of a front's process share.
+    """Objects that all components of a front's process share.
 
     Attributes:
-        guard: Records exceptions; has the log and the counters.
+        guard: Records exceptions; also holds the log and the counters.
         loop: The monitored event loop.
         shutdown: Decides when the process may end.
-        started_at: When the front was created, ns.
+        started_at: Time at which the front was created, ns.
     """
 
     guard: ErrorGuard
@@ -42,13 +42,13 @@
 
 
 class RequestPath(NamedTuple):
-    """The components that a request passes.
+    """The components that process a request.
 
     Attributes:
-        driver: Runs the policy.
+        driver: Runs the policy and its timers.
         upstream_client: Sends attempts to upstreams.
-        handler: Handles each request from its admission to its response.
-        client_listener: Reads requests of clients and writes their responses.
+        handler: Handles each request, from admission to response.
+        client_listener: Accepts clients, reads their requests and writes the responses.
     """
 
     driver: PolicyDriver
@@ -61,14 +61,14 @@
     """All components of one front.
 
     Attributes:
-        configuration: The configuration at the start.
-        process: What all components share.
-        request_path: The components that a request passes.
-        late: Calls of the request path to the components below.
-        discovery_watch: The watch of the discovery service.
-        peers: The datagrams between fronts; None: there are none.
-        fleet: The front's part in the fleet; None: there is none.
-        control: The client of the control plane; None: there is none.
+        configuration: The configuration with which the front was started.
+        process: Objects that all components share.
+        request_path: The components that process a request.
+        late: Forwards calls of the request path to the components listed below.
+        discovery_watch: The watch stream from the discovery service.
+        peers: The socket for datagrams between fronts; None if they exchange none.
+        fleet: Connects the front to the fleet; None if the front is not a member.
+        control: The client of the control plane; None if there is no control plane.
     """
 
     configuration: StartupConfiguration
@@ -82,11 +82,11 @@
 
     @property
     def maintenance(self) -> MaintenanceAdapter | None:
-        """The front's part in maintenance; None if it takes part in none."""
+        """The front's maintenance adapter; None if the front is not part of any maintenance."""
         return self.fleet.maintenance if self.fleet else None
 
     def loops(self) -> list[Callable[[], object]]:
-        """Return the functions that run for good, each in a greenlet of its own."""
+        """Return the functions that run until the process ends, each in a separate greenlet."""
         loops: list[Callable[[], object]] = [
             self.discovery_watch.run,
             self.request_path.handler.monitor.run_probes,
@@ -98,5 +98,5 @@
         return loops
 
     def endpoints_age(self) -> int:
-        """Return the time, ns, since the last line of the discovery service or of a control node."""
+        """Return the time, ns, since the discovery service or a control node last sent a line."""
         return clock.now() - (self.late.last_source_line_at() or self.process.started_at)
--- a/marbleglade/service/control_wiring.py
+++ b/marbleglade/service/control_wiring.py
@@ -1,4 +1,4 @@
-"""Connects a front to its client of the control plane. Imported only if MARBLEGLADE_CONTROL is set."""
+"""Connects a front to its control plane client. Imported only if MARBLEGLADE_CONTROL is set."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     """Applies the events of the control plane to a front.
 
     Args:
-        handler: Has the endpoint list, and applies events.
+        handler: Holds the endpoint list and applies events.
         driver: Runs the policy.
         configurator: Applies configuration documents.
     """
@@ -45,11 +45,11 @@
         self._configurator = configurator
 
     def apply(self, event: EndpointListChange | Purge) -> None:
-        """Apply an event as if it came from the discovery service."""
+        """Apply an event in the same way as an event of the discovery service."""
         self._handler.events.apply_and_publish(event)
 
     def withdraw(self, change: EndpointListChange) -> None:
-        """Stop using these caches and their earlier incarnations; the endpoint list does not change."""
+        """Stop using these caches and their earlier incarnations, without changing the endpoint list."""
         for member in change.endpoints:
             upstream = self._handler.upstreams.by_id.get(member.id)
             if upstream and upstream.started_ms <= member.started_ms:
@@ -61,20 +61,20 @@
         """Apply a version of the configuration atomically.
 
         Raises:
-            ConfigurationRejectedError: It can't be applied; nothing has changed.
+            ConfigurationRejectedError: The version can't be applied; nothing has changed.
         """
         self._configurator.configure(version, text)
 
     def limit_cache_age(self, max_age_ns: int) -> None:
-        """Limit the age of every cached response, ns; 0 (`DEFAULT_MAX_AGE`) ends the limit."""
+        """Limit the age of all cached responses to `max_age_ns`; 0 (`DEFAULT_MAX_AGE`) removes the limit."""
         self._driver.limit_cache_age(max_age_ns)
 
 
 def read_settings(path: str, name: str) -> ControlSettings:
-    """Read the settings of the control plane for a front.
+    """Read the control plane settings for a front.
 
     Raises:
-        InvalidConfigurationError: They can't be used, or list no such front; the text is one line.
+        InvalidConfigurationError: The settings are invalid or do not list the front; the message is one line.
     """
     try:
         settings = read(path)
@@ -86,12 +86,12 @@
 
 
 class PeerAddresses(Protocol):
-    """What a configuration reads and changes of the datagrams between fronts.
+    """The part of the socket for datagrams between fronts that a configuration reads and changes.
 
     Attributes:
         listen: The front's own address.
-        addresses: The addresses of all fronts, in the order that numbers them.
-        broadcast_address: An address that reaches all fronts, where there is one.
+        addresses: The addresses of all fronts; a front's number is its position in this list.
+        broadcast_address: An address that reaches all fronts; None if there is none.
     """
 
     listen: Address
@@ -99,23 +99,23 @@
     broadcast_address: Address | None
 
     def replace_peers(self, peers: list[Address], broadcast_address: Address | None) -> None:
-        """Use another list of peers."""
+        """Replace the list of peers and the broadcast address."""
 
 
 @dataclass(frozen=True, slots=True)
 class ControlledFront:
-    """The components of a front that the control plane changes.
+    """The components of a front on which its control plane client acts.
 
     Attributes:
-        name: The front's name, as the control plane's settings list it.
-        known_events: Discovery events that the front was started with and has applied.
+        name: The front's name in the control plane settings.
+        known_events: Discovery events from the startup configuration, which the front has applied.
         handler: Handles requests, and applies events.
         driver: Runs the policy.
-        discovery_watch: The front's own watch of the discovery service.
-        peers: The datagrams between fronts; None: there are none.
-        maintenance: The front's part in maintenance; None: it takes part in none.
-        guard: Records exceptions; has the log and the counters.
-        loop: The monitored event loop; None: unread events are looked for before each attempt.
+        discovery_watch: The front's own watch stream from the discovery service.
+        peers: The socket for datagrams between fronts; None if they exchange none.
+        maintenance: The front's maintenance adapter; None if the front is not part of any maintenance.
+        guard: Records exceptions; also holds the log and the counters.
+        loop: The monitored event loop; if None, the client checks for unread events before each attempt.
     """
 
     name: str
@@ -134,16 +134,17 @@
     front: ControlledFront,
     apply_load_view: Callable[[bytes], None] | None = None,
 ) -> ControlClient:
-    """Create the client, with the front's own watch of the discovery service as its fallback.
+    """Create the control plane client, with the front's own watch of the discovery service as its fallback.
 
     Args:
-        settings: The control plane; it must list the front.
+        settings: The control plane settings, which must list the front.
         front: The components of the front.
-        apply_load_view: Called with each encoded load view of the primary node; None: they are ignored.
+        apply_load_view: Called with each encoded load view from the primary node; if None, load views are
+            ignored.
     """
     region = settings.region_of(front.name)
     if region is None:
-        raise ValueError(f"the control plane's settings list no front {front.name}")
+        raise ValueError(f"the control plane settings list no front {front.name}")
     configurator = Configurator(settings, region.name, _configurable_components(front))
     client = ControlClient(
         settings,
@@ -162,7 +163,7 @@
 
 
 def _configurable_components(front: ControlledFront) -> ConfigurationTarget:
-    """Return the components of a front that a configuration document can change."""
+    """Return callbacks for the parts of a front that a configuration document can change."""
     discovery_watch, peers, maintenance = front.discovery_watch, front.peers, front.maintenance
 
     def active_configuration() -> ActiveConfiguration:
@@ -171,13 +172,13 @@
         return ActiveConfiguration(discovery_watch.address, tuple(peers.addresses), peers.broadcast_address)
 
     def replace_peers(addresses: list[Address], broadcast_address: Address | None) -> None:
-        if peers is not None:  # else the document's list of peers was rejected
+        if peers is not None:  # without peers, a document that lists peers was rejected before
             peers.replace_peers(addresses, broadcast_address)
 
     def set_maintenance_plan(plan: MaintenanceConfiguration) -> None:
-        # Whether the plan is put in force is neither logged nor reported: a configuration whose plan is no
-        # later than the one in force counts as applied.
-        if maintenance is not None:  # else it is not a part of the target
+        # The result of `adopt` is neither logged nor reported: a configuration counts as applied even if its
+        # plan is not later than the plan in force.
+        if maintenance is not None:  # without maintenance, this callback is not passed to the target
             maintenance.coordinator.adopt(plan.plan, plan.encoded, clock.now())
 
     return ConfigurationTarget(
--- a/marbleglade/service/front_process.py
+++ b/marbleglade/service/front_process.py
@@ -1,4 +1,4 @@
-"""The process of one front, from its start to its graceful shutdown."""
+"""The process of one front: startup, main loop and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from .startup_configuration import StartupConfiguration
 from .wiring import build_front
 
-SWEEP_PERIOD_NS = SECOND_NS // 4  # of the checks for idle connections
-MAX_BIND_WAIT_NS = 20 * SECOND_NS  # the platform allows 30 s until the front is ready
+SWEEP_PERIOD_NS = SECOND_NS // 4  # between two checks for idle connections
+MAX_BIND_WAIT_NS = 20 * SECOND_NS  # the platform allows a front 30 s to become ready
 
 
 def run(configuration: StartupConfiguration) -> None:
@@ -37,7 +37,7 @@
 
 
 class FrontProcess:
-    """Runs the components of one front: signals, the loop that runs due timers, the graceful shutdown.
+    """Runs the components of one front: signal handling, the main loop with its timers, graceful shutdown.
 
     Args:
         components: The components of the front.
@@ -61,9 +61,9 @@
             self.guard,
         )
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self.accepting: gevent.Greenlet | None = None
+        self.accept_greenlet: gevent.Greenlet | None = None
         self.swept_at = 0
-        self.fleet_tick_at = 0
+        self.next_fleet_tick_at = 0
 
     # Signals.
 
@@ -87,7 +87,7 @@
         )
 
     def request_shutdown(self) -> None:
-        """Begin the graceful shutdown."""
+        """Begin the graceful shutdown, and announce it to the fleet and the control nodes."""
         now = clock.now()
         self.shutdown.request(now, arrival_time(self.loop.sockets_empty_at, now))
         self.log.info("stopping", open_requests=len(self.driver.open_requests))
@@ -97,13 +97,13 @@
             self.guard.call("control", self.components.control.leave)
 
     def reload_configuration(self) -> None:
-        """Read the configuration again, and the maintenance plan."""
+        """Read the configuration file and the maintenance plan again and apply them."""
         self.guard.call("configuration_reload", self.configuration_reload.reload)
         if self.components.fleet and self.components.maintenance:
             self.guard.call("configuration_reload", self.components.fleet.reload_plan)
 
     def _handle_signals(self) -> None:
-        """Handle signals from now on; those that arrived earlier once the front has started."""
+        """Handle signals from now on; signals that arrived earlier are handled when the front has started."""
         handlers = {
             signal.SIGHUP: self.reload_configuration,
             signal.SIGUSR1: self.log_counters,
@@ -115,17 +115,17 @@
     # Start.
 
     def start(self) -> None:
-        """Open the listener and start all greenlets."""
+        """Open the listener, start all greenlets, and handle the signals that arrived before."""
         self._handle_signals()
         self.loop.start()
         self._listen()
         for loop in self.components.loops():
             gevent.spawn(loop)
         if self.components.fleet and self.components.maintenance:
-            # Its peers are queried for what is out of service before it serves.
+            # Asks the peers which machines are out of service before this front serves requests.
             self.guard.call("fleet", self.components.fleet.tick)
-        self.accepting = gevent.spawn(self.client_listener.accept, self.listener)
-        gc.freeze()  # objects of the start live on; the collector skips them from now on
+        self.accept_greenlet = gevent.spawn(self.client_listener.accept, self.listener)
+        gc.freeze()  # the collector skips the objects created at startup, which live on
         gc.enable()
         self.log.info(
             "ready",
@@ -135,18 +135,18 @@
         process_signals.deliver_pending()
 
     def _listen(self) -> None:
-        """Open the listener, with retries if the address is in use or the call fails.
+        """Open the listener; retry if the address is in use or the call fails.
 
         Raises:
-            InvalidConfigurationError: It could not be opened in time.
-            SystemExit: A shutdown was requested meanwhile; no response is pending yet.
+            InvalidConfigurationError: The listener could not be opened within `MAX_BIND_WAIT_NS`.
+            SystemExit: A shutdown was requested during the retries; no response can be pending yet.
         """
         address = self.configuration.listen
         backlog = self.configuration.max_descriptors
         try:
             listen_with_retries(self.listener, address, backlog, self._handle_bind_error, MAX_BIND_WAIT_NS)
         except OSError as error:
-            raise InvalidConfigurationError(f"can't listen at {address}: {error}") from error
+            raise InvalidConfigurationError(f"can't listen on {address}: {error}") from error
 
     def _handle_bind_error(self, error: OSError, count: int) -> None:
         if self.shutdown.requested_at:
@@ -157,7 +157,7 @@
     # Main loop.
 
     def serve(self) -> None:
-        """Run due timers until the process may exit."""
+        """Run timers when they are due, until the process may exit."""
         self.swept_at = clock.now()
         resolution = self.configuration.environment.parameters.clock_resolution
         while not self._may_exit():
@@ -168,27 +168,27 @@
                 self.guard.call("maintenance", self.components.maintenance.drain_front, clock.now())
             if self._must_give_up():
                 self.guard.call("give_up_all", self.driver.give_up_all)
-            if self.shutdown.requested_at:  # giving up may be due before the policy's next timer
+            if self.shutdown.requested_at:  # requests may have to end before the policy's next timer
                 wake_at = min(wake_at, clock.now() + TICK_PERIOD_NS)
             gevent.sleep(max(0, wake_at - clock.now()) / SECOND_NS)
             if clock.now() - wake_at > resolution:
                 self.guard.counters.add("timer.late")
-                read_arrived()  # before the timers that are due now
+                read_arrived()  # so that data that arrived in time is read before the due timers run
 
     def _run_timers(self) -> int:
-        """Run the policy's due timers; return the time of the next one, ns; 0 for none, or if one failed."""
+        """Run the policy's due timers; return when the next is due, ns; 0 if there is none or one failed."""
         next_timer_at = self.guard.call("policy_timers", self.driver.run_timers)
         return next_timer_at if isinstance(next_timer_at, int) else 0
 
     def _may_exit(self) -> bool:
-        """Return whether no response is pending and all has been read; accepts clients in the backlog."""
+        """Return whether no response is pending and nothing is unread; accepts clients from the backlog."""
         pending = len(self.driver.open_requests) or self.client_listener.connections.has_pending_responses
         if not self.shutdown.may_exit(clock.now(), pending):
             return False
         return self._must_give_up() or not self.client_listener.drain_backlog(self.listener)
 
     def _must_give_up(self) -> bool:
-        """Return whether open requests have to be given up, to be answered before the kill."""
+        """Return whether open requests must be ended now, so that responses are written before the kill."""
         return self.shutdown.must_give_up(clock.now(), self.loop.recent_delay())
 
     def _sweep(self) -> None:
@@ -202,21 +202,21 @@
             self.guard.call("sweep", self.components.peers.tick)
 
     def _run_fleet_timers(self) -> int:
-        """Run the fleet's timers, if they are due; return when they are next, ns; 0 without a fleet."""
+        """Run the fleet's timers if they are due; return when they are due next, ns, or 0 without a fleet."""
         fleet = self.components.fleet
         if fleet is None:
             return 0
-        if clock.now() >= self.fleet_tick_at:
-            self.fleet_tick_at = clock.now() + fleet.tick_period
+        if clock.now() >= self.next_fleet_tick_at:
+            self.next_fleet_tick_at = clock.now() + fleet.tick_period
             self.guard.call("fleet", fleet.tick)
-        return self.fleet_tick_at
+        return self.next_fleet_tick_at
 
     # Shutdown.
 
     def end(self) -> None:
-        """Close all client connections; no greenlet ran since `_may_exit`, so no response is pending."""
-        if self.accepting:
-            self.accepting.kill(block=False)
+        """Close all client connections. No response is pending, as no greenlet has run since `_may_exit`."""
+        if self.accept_greenlet:
+            self.accept_greenlet.kill(block=False)
         self.listener.close()
         clients = self.client_listener.connections
         clients.close_all_gracefully()
--- a/marbleglade/service/reload.py
+++ b/marbleglade/service/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration while the front runs: SIGHUP reads the file again."""
+"""Reload of the configuration at runtime: on SIGHUP the front reads the file again."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 if TYPE_CHECKING:
     from ..transport.peer_datagrams import PeerSocket
 
-INITIAL_RETRY_DELAY_S = 0.25  # it doubles with each retry
+INITIAL_RETRY_DELAY_S = 0.25  # doubled after each retry
 MAX_RETRY_DELAY_S = 2.0
-MAX_RETRIES = 60  # about two minutes
+MAX_RETRIES = 60  # with the delays above, retries end after about two minutes
 
 
 class ConfigurationReload:
-    """Applies what a running front can change; the rest is named in the log and stays as it was.
+    """Applies the settings that a running front can change; settings that differ but can't change are logged.
 
-    A file that can't be read or is incomplete is read again later, as a file system may fail for a while, and
-    the signal may arrive while the file is being written, and is not sent twice.
+    A file that can't be read or is incomplete is read again later. A file system may fail for a while, or the
+    signal may arrive while the file is being written, and the signal is not sent again.
 
     Args:
-        environ: The environment, which names the file.
-        fixed_settings: The fixed settings at the start, to be compared.
-        deployment: Identity of the deployment at the start, see `startup_configuration.deployment_identity`.
-        discovery_watch: The watch of the discovery service.
-        peers: The datagrams between peers, if the front has peers.
-        guard: Records exceptions of retries.
+        environ: The environment variables, of which GW_CONFIG gives the path of the file.
+        fixed_settings: Settings at startup that a reload can't change, to detect differences.
+        deployment: Identity of the deployment at startup, see `startup_configuration.deployment_identity`.
+        discovery_watch: The watch stream from the discovery service.
+        peers: The socket for datagrams between fronts; None if the front has no peers.
+        guard: Records exceptions raised by retries.
     """
 
     def __init__(
@@ -51,25 +51,26 @@
         self._peers = peers
         self._guard = guard
         self._log = guard.log
-        self._retrying: gevent.Greenlet | None = None
+        self._retry_greenlet: gevent.Greenlet | None = None
 
     def reload(self) -> None:
-        """Read the file and apply it; one that can't be read for now is retried."""
-        if self._retrying:
-            self._retrying.kill(block=False)
-            self._retrying = None
+        """Read the file and apply it; if it can't be read, start retries in the background."""
+        if self._retry_greenlet:
+            self._retry_greenlet.kill(block=False)
+            self._retry_greenlet = None
         try:
             self._apply(read_reload(self._environ))
         except InvalidConfigurationError as error:
             self._log_invalid(error)
             if isinstance(error, UnreadableConfigurationError):
-                self._retrying = gevent.spawn(self._guard.call, "configuration_reload", self._retry)
+                self._retry_greenlet = gevent.spawn(self._guard.call, "configuration_reload", self._retry)
 
     def _retry(self) -> None:
-        """Read the file again until it can be read, `MAX_RETRIES` times at most.
+        """Try to read the file until that succeeds, at most `MAX_RETRIES` times.
 
-        Each failure here is counted as `configuration_reload.unreadable`, the one before as `.invalid`.
-        Giving up is not logged: the front goes on with its old configuration until the next SIGHUP.
+        Each failed retry is counted as `configuration_reload.unreadable`, the failed first attempt as
+        `configuration_reload.invalid`. The end of retries without success is not logged: the front keeps its
+        old configuration until the next SIGHUP.
         """
         delay_s = INITIAL_RETRY_DELAY_S
         for _ in range(MAX_RETRIES):
@@ -90,17 +91,17 @@
         self._log.info("configuration_reload", invalid=str(error))
 
     def _apply(self, configuration: ReloadedConfiguration) -> None:
-        """Apply what can change; nothing of another deployment's file.
+        """Apply the settings that can change, unless the file belongs to another deployment.
 
-        It is counted as `configuration_reload.applied` before it is applied, and logged before the watch of
-        the discovery service is changed: after an exception amid it, counted as
-        `exception.configuration_reload`, a part of it may be applied.
+        The reload is counted as `configuration_reload.applied` before any setting is applied, and logged
+        before the watch of the discovery service changes. So if an exception is raised midway and counted as
+        `exception.configuration_reload`, the configuration may have been applied in part.
         """
         if configuration.deployment and configuration.deployment != self._deployment:
-            # Another deployment's file at this path: its endpoint list would leave the front without caches.
+            # The endpoint list of another deployment would leave the front without usable caches.
             self._log.counters.add("configuration_reload.other_deployment")
             self._log.info(
-                "configuration_reload", invalid="the file is of another deployment: nothing is applied"
+                "configuration_reload", invalid="the file belongs to another deployment: nothing is applied"
             )
             return
         self._log.counters.add("configuration_reload.applied")
--- a/marbleglade/service/request_path_wiring.py
+++ b/marbleglade/service/request_path_wiring.py
@@ -1,4 +1,4 @@
-"""Creates the components that a request passes, from the listener for clients to the client of upstreams."""
+"""Creates the components that process a request, from the client listener to the upstream client."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 from .late_components import LateComponents
 from .startup_configuration import StartupConfiguration
 
-# Divisors of the limits: a sixth of the memory for bodies, of which there are up to three copies while they
-# are forwarded, a sixth for the local cache, and half of that for requests; a third of the descriptors for
-# clients and half for connections to caches. The rest is for the process itself and for a margin.
+# Divisors of the process's limits. Of the memory, a sixth is for response bodies, of which up to three copies
+# exist while they are forwarded, a sixth is for the local cache and a twelfth for requests. A third of the
+# descriptors is for clients and half for connections to caches. The rest is for the process and a margin.
 BODIES_DIVISOR = 6
 LOCAL_CACHE_DIVISOR = 6
 REQUESTS_DIVISOR = 12
@@ -36,9 +36,9 @@
     """Create the request path of one front.
 
     Args:
-        configuration: The configuration at the start.
-        process: What all components share.
-        late: Calls to components that are created later.
+        configuration: The configuration with which the front is started.
+        process: Objects that all components share.
+        late: Forwards calls to components that are created later.
     """
     parameters = configuration.environment.parameters
     driver = _build_driver(configuration, process)
--- a/marbleglade/service/startup_configuration.py
+++ b/marbleglade/service/startup_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration of a front: the JSON file that GW_CONFIG names, read at the start and at a reload."""
+"""Configuration of a front: the JSON file at the path in GW_CONFIG, read at startup and on reload."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 Address = tuple[str, int]  # host and port
 
-# Keys of the settings that a running front can't change.
+# Top-level keys whose values a running front can't change.
 FIXED_FIELDS = (
     "name",
     "listen",
@@ -29,28 +29,28 @@
     "link_bytes_per_s",
 )
 
-MIN_SOCKETS = 16  # with fewer some component of a front would have none
+MIN_SOCKETS = 16  # with fewer, the share of some component would be no descriptor at all
 MEGABYTE = 1 << 20
 REQUIRED_FIELDS = ("name", "listen", "seed", "limits", "coordinator", "known", "settings")
 
 
 class StartupConfiguration(NamedTuple):
-    """What a front is started with.
+    """The configuration with which a front is started.
 
     Attributes:
         name: Name of the front.
-        listen: Address that clients connect to.
-        memory_bytes: Limit of the process's memory.
-        max_descriptors: Limit of the process's descriptors.
+        listen: Address on which the front accepts clients.
+        memory_bytes: Memory limit of the process, bytes.
+        max_descriptors: Limit on the number of open file descriptors of the process.
         discovery_address: Address of the discovery service.
-        flow_bytes_per_s: Bytes a second of one transfer of the front's own; 0: not configured.
-        peer_listen: Address for the datagrams of peers; None: no peers.
+        flow_bytes_per_s: Throughput of one transfer from the local cache, bytes per second; 0 if not set.
+        peer_listen: Address on which the front receives datagrams of peers; None if it has no peers.
         peers: Addresses of the peers.
-        peers_all: Address that reaches all peers, if there is one.
+        peers_all: Address that reaches all peers; None if there is none.
         last_event: Number of the last discovery event that `known_events` includes.
-        known_events: Discovery events up to then.
-        environment: The settings.
-        fixed_settings: Settings that a reload can't change, as JSON, to be compared.
+        known_events: Discovery events up to `last_event`.
+        environment: The values of the key `settings`, with the seed and the link capacity.
+        fixed_settings: Settings that a reload can't change, as JSON, for comparison on reload.
         deployment: Identity of the deployment, see `deployment_identity`.
     """
 
@@ -71,9 +71,9 @@
 
 
 class ReloadedConfiguration(NamedTuple):
-    """What a running front applies of a new configuration, and what it can't change, to be compared.
+    """The parts of a new configuration that a running front applies, and the fixed settings to compare.
 
-    Attributes are as in `StartupConfiguration`; `peers` is None if there are none.
+    Attributes are as in `StartupConfiguration`, except that `peers` is None if the file lists no peers.
     """
 
     discovery_address: Address
@@ -85,9 +85,10 @@
 
 
 def deployment_identity(configuration: JsonObject) -> bytes:
-    """Return what two configurations of one deployment have in common, as JSON.
+    """Return the values that are equal in all configurations of one deployment, as JSON.
 
-    These are the names of its classes, zones and kinds; empty if the settings lack them.
+    These are the names of the request classes, zones and machine kinds. The result is empty if the
+    settings lack the request classes.
     """
     settings = configuration.get("settings")
     classes = settings.get("Classes") if isinstance(settings, dict) else None
@@ -98,7 +99,7 @@
 
 
 def fixed_settings(configuration: JsonObject) -> dict[str, bytes]:
-    """Return the settings that a reload can't change, as JSON by their keys."""
+    """Return the settings that a reload can't change, each as JSON, by key."""
     return {
         field: orjson.dumps(configuration[field], option=orjson.OPT_SORT_KEYS)
         for field in FIXED_FIELDS
@@ -107,22 +108,23 @@
 
 
 def load_file(environ: Mapping[str, str]) -> JsonObject:
-    """Load the file that GW_CONFIG names.
+    """Load the configuration file at the path in GW_CONFIG.
 
     Raises:
-        UnreadableConfigurationError: It can't be read or is no JSON, as while it is being written.
-        InvalidConfigurationError: GW_CONFIG is not set, or the file holds no JSON object.
+        UnreadableConfigurationError: The file can't be read or is not JSON, for example because it is just
+            being written.
+        InvalidConfigurationError: GW_CONFIG is not set, or the file does not contain a JSON object.
     """
     path = environ.get("GW_CONFIG")
     if not path:
-        raise InvalidConfigurationError("GW_CONFIG is not set")
+        raise InvalidConfigurationError("GW_CONFIG is not set: expected a path of a configuration file")
     try:
         with open(path, "rb") as file:
             configuration = orjson.loads(file.read())
     except (OSError, ValueError) as error:
-        raise UnreadableConfigurationError(f"the file that GW_CONFIG names can't be read: {error}") from error
+        raise UnreadableConfigurationError(f"the file named by GW_CONFIG can't be read: {error}") from error
     if not isinstance(configuration, dict):
-        raise InvalidConfigurationError("the configuration is no object")
+        raise InvalidConfigurationError("the configuration file must contain a JSON object")
     return configuration
 
 
@@ -130,11 +132,11 @@
     """Read the configuration for a reload.
 
     Raises:
-        InvalidConfigurationError: It is invalid; the text names the field.
+        InvalidConfigurationError: It is invalid; the message names the key.
     """
     configuration = load_file(environ)
     discovery_address = _read_address(configuration, "coordinator")
-    with _errors_naming("known"):
+    with _convert_errors("known"):
         updates = (configuration.get("known") or {}).get("updates") or ()
         known_events = [parse_event(update) for update in updates]
     peers_fields = "peers or peers_all"
@@ -149,16 +151,17 @@
 
 
 def read_startup(environ: Mapping[str, str]) -> StartupConfiguration:
-    """Read the configuration for the start. The first field that can't be used is named, in the order below.
+    """Read the configuration at startup.
 
     Raises:
-        InvalidConfigurationError: It is invalid; the text names the field, on one line.
+        InvalidConfigurationError: It is invalid; the one-line message names the first invalid key, in the
+            order in which this function reads the keys.
     """
     configuration = load_file(environ)
     for field in REQUIRED_FIELDS:
         if field not in configuration:
-            raise InvalidConfigurationError(f"the configuration lacks {field}")
-    own_peer_fields = "peer_listen or peers_all"
+            raise InvalidConfigurationError(f"the configuration file lacks the required key {field}")
+    address_fields = "peer_listen or peers_all"
     return StartupConfiguration(
         environment=_read_environment(configuration),
         flow_bytes_per_s=_read_rate(configuration, "flow_bytes_per_s"),
@@ -169,8 +172,8 @@
         last_event=_read_last_event(configuration),
         known_events=_read_known_events(configuration),
         peers=_read_addresses(configuration, "peers", "peers"),
-        peer_listen=_read_optional_address(configuration, "peer_listen", own_peer_fields),
-        peers_all=_read_optional_address(configuration, "peers_all", own_peer_fields),
+        peer_listen=_read_optional_address(configuration, "peer_listen", address_fields),
+        peers_all=_read_optional_address(configuration, "peers_all", address_fields),
         name=str(configuration["name"]),
         fixed_settings=fixed_settings(configuration),
         deployment=deployment_identity(configuration),
@@ -178,58 +181,58 @@
 
 
 @contextmanager
-def _errors_naming(fields: str) -> Iterator[None]:
-    """Turn errors of the values within into `InvalidConfigurationError`, which names the fields."""
+def _convert_errors(fields: str) -> Iterator[None]:
+    """Convert errors raised in the block to `InvalidConfigurationError`, whose message names the fields."""
     try:
         yield
     except InvalidSettingError as error:
         raise InvalidConfigurationError(str(error)) from error
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise InvalidConfigurationError(f"the configuration's {fields} can't be used: {error!r}") from error
+        raise InvalidConfigurationError(f"invalid {fields} in the configuration file: {error!r}") from error
 
 
 def _read_environment(configuration: JsonObject) -> Environment:
-    with _errors_naming("seed"):
+    with _convert_errors("seed"):
         seed = int(str(configuration["seed"]), 16)
     flow_rate = _read_rate(configuration, "flow_bytes_per_s")
     link_rate = _read_rate(configuration, "link_bytes_per_s")
-    # Without the rate of its link, one transfer at a time is all that is known to fit.
+    # If the link's throughput is not configured, the link is assumed to carry one transfer at a time.
     link_capacity = (link_rate or flow_rate) / flow_rate if flow_rate else 0.0
-    with _errors_naming("settings"):
+    with _convert_errors("settings"):
         return read_environment(configuration["settings"], seed, link_capacity)
 
 
 def _read_rate(configuration: JsonObject, field: str) -> int:
-    with _errors_naming("flow_bytes_per_s or link_bytes_per_s"):
+    with _convert_errors("flow_bytes_per_s or link_bytes_per_s"):
         return SettingsReader(configuration, "").optional_integer(field)
 
 
 def _read_limit(configuration: JsonObject, field: str, minimum: int) -> int:
-    with _errors_naming("limits"):
+    with _convert_errors("limits"):
         return SettingsReader(configuration["limits"], "limits.").integer(field, minimum)
 
 
 def _read_last_event(configuration: JsonObject) -> int:
-    with _errors_naming("known"):
+    with _convert_errors("known"):
         return SettingsReader(configuration["known"], "known.").integer("index")
 
 
 def _read_known_events(configuration: JsonObject) -> list[EndpointListChange | Purge]:
-    with _errors_naming("known"):
+    with _convert_errors("known"):
         events = [parse_event(update) for update in configuration["known"]["updates"]]
     return [event for event in events if not isinstance(event, UnknownEvent)]
 
 
 def _read_address(configuration: JsonObject, field: str) -> Address:
-    with _errors_naming(field):
+    with _convert_errors(field):
         return parse_address(configuration[field])
 
 
 def _read_addresses(configuration: JsonObject, field: str, fields: str) -> list[Address]:
-    with _errors_naming(fields):
+    with _convert_errors(fields):
         return [parse_address(text) for text in configuration.get(field) or ()]
 
 
 def _read_optional_address(configuration: JsonObject, field: str, fields: str) -> Address | None:
-    with _errors_naming(fields):
+    with _convert_errors(fields):
         return parse_address(configuration[field]) if configuration.get(field) else None
--- a/marbleglade/service/wiring.py
+++ b/marbleglade/service/wiring.py
@@ -1,7 +1,7 @@
-"""Wiring of one front: creates its components in their order and connects them. Nothing runs here.
+"""Wiring of one front: creates its components in order of dependency and connects them, but starts none.
 
-What only some fronts have (peers, a part in the fleet, control nodes) is imported where it is created, so
-that the others start faster and need less memory.
+Modules for components that only some fronts have (peers, fleet, control nodes) are imported where these are
+created, so that other fronts start faster and need less memory.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     from ..model.watch_event import EndpointListChange, Purge
     from ..transport.peer_datagrams import PeerSocket
 
-# Purge deadlines for which purges and drains are kept for peers that missed them.
+# Number of purge deadlines for which purges and drains are kept, so that peers that missed them can get them.
 GOSSIP_RETENTION_DEADLINES = 2
 
 
@@ -40,10 +40,10 @@
     """Create all components of one front.
 
     Args:
-        configuration: The configuration at the start.
+        configuration: The configuration with which the front is started.
 
     Raises:
-        InvalidConfigurationError: The settings of the control plane or of the fleet can't be used.
+        InvalidConfigurationError: The settings of the control plane or of the fleet are invalid.
     """
     control_settings = _read_control_settings(configuration.name)
     process = _build_process(configuration)
@@ -52,8 +52,8 @@
     events = request_path.handler.events
     for event in configuration.known_events:
         process.guard.call("known", events.apply, event)
-    # Without control nodes a front keeps its index: it follows a discovery service that has restarted its
-    # numbering again only once the new numbers exceed it, or after a restart of the front.
+    # Without control nodes, a front keeps its event index. If the discovery service restarts its numbering,
+    # the front applies events again only when their index exceeds its own, or after a restart of the front.
     discovery_watch = _build_discovery_watch(
         configuration, process, events, late, accept_index_restart=bool(control_settings)
     )
@@ -96,7 +96,7 @@
     late: LateComponents,
     accept_index_restart: bool,
 ) -> WatchClient:
-    """Create the watch; its events pass the client of the control plane, if there is one."""
+    """Create the watch; its events go through the control plane client, if there is one."""
 
     def handle_event(event: EndpointListChange | Purge) -> None:
         if late.control:
@@ -124,7 +124,7 @@
     events: DiscoveryEvents,
     late: LateComponents,
 ) -> PeerSocket | None:
-    """Create the datagrams between fronts, if the configuration names peers and allows them."""
+    """Create the socket for datagrams between fronts, if they are enabled and peers are configured."""
     environment = configuration.environment
     if not (environment.peer_messages and configuration.peer_listen and configuration.peers):
         return None
@@ -151,7 +151,7 @@
     request_path: RequestPath,
     peers: PeerSocket | None,
 ) -> FleetAdapter | None:
-    """Create the front's part in the fleet, if MARBLEGLADE_FLEET names its settings and this is a peer."""
+    """Create the fleet adapter, if MARBLEGLADE_FLEET is set and the list of peers includes this front."""
     settings_path = os.environ.get("MARBLEGLADE_FLEET")
     if not (peers and settings_path and configuration.peer_listen in configuration.peers):
         return None
@@ -170,10 +170,10 @@
 
 
 def _read_control_settings(name: str) -> ControlSettings | None:
-    """Read the settings of the control plane that MARBLEGLADE_CONTROL names, if any.
+    """Read the control plane settings from the path in MARBLEGLADE_CONTROL; return None if it is not set.
 
     Raises:
-        InvalidConfigurationError: They can't be used, or do not list this front.
+        InvalidConfigurationError: The settings are invalid or do not list this front.
     """
     path = os.environ.get("MARBLEGLADE_CONTROL")
     if not path:
@@ -192,12 +192,12 @@
     peers: PeerSocket | None,
     fleet: FleetAdapter | None,
 ) -> ControlClient:
-    """Create the client of the control plane; its nodes aggregate the fleet's load view if so configured."""
+    """Create the control plane client; if the settings have a view period, it also handles load views."""
     from .control_wiring import ControlledFront, make_client
 
-    viewed_fleet = fleet if settings.view_period_ns else None
-    if viewed_fleet:
-        _check_view_period(settings.view_period_ns, viewed_fleet.agent.report_interval)
+    reporting_fleet = fleet if settings.view_period_ns else None
+    if reporting_fleet:
+        _check_view_period(settings.view_period_ns, reporting_fleet.agent.report_interval)
     front = ControlledFront(
         name=configuration.name,
         known_events=configuration.known_events,
@@ -209,17 +209,17 @@
         guard=process.guard,
         loop=process.loop,
     )
-    client = make_client(settings, front, viewed_fleet.take_view if viewed_fleet else None)
-    if viewed_fleet:
-        viewed_fleet.use_control_nodes(settings.front_numbers()[configuration.name], client.report)
+    client = make_client(settings, front, reporting_fleet.take_view if reporting_fleet else None)
+    if reporting_fleet:
+        reporting_fleet.use_control_nodes(settings.front_numbers()[configuration.name], client.report)
     return client
 
 
 def _check_view_period(view_period: int, report_interval: int) -> None:
-    """Check that the control nodes aggregate load views as often as the fleet reports. Times are nanoseconds.
+    """Check that the control nodes aggregate load views as often as the fleet reports load. Times are in ns.
 
     Raises:
-        InvalidConfigurationError: The periods differ.
+        InvalidConfigurationError: The two periods differ.
     """
     if view_period != report_interval:
         raise InvalidConfigurationError(
--- a/marbleglade/simulator/__init__.py
+++ b/marbleglade/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The policy as a program of the operators' simulator."""
+"""The policy as a program that the operators' simulator runs."""
--- a/marbleglade/simulator/__main__.py
+++ b/marbleglade/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m marbleglade.simulator`: the policy on the simulator's wire, over standard input and output."""
+"""`python -m marbleglade.simulator`: serves the simulator's protocol on standard input and output."""
 
 import sys
 
--- a/marbleglade/simulator/instance.py
+++ b/marbleglade/simulator/instance.py
@@ -1,4 +1,4 @@
-"""One simulated instance: a policy whose host is the simulator's wire."""
+"""One simulated instance: a policy whose host calls are sent to the simulator as messages."""
 
 from __future__ import annotations
 
@@ -22,36 +22,36 @@
     REFRESH_BIT,
     RESULT_BY_STATUS,
     MalformedMessageError,
-    decode_figures,
     decode_integer,
     decode_number,
+    decode_report_values,
     decode_time,
     encode_time,
 )
 
-Call = Callable[[], None]
+PolicyCall = Callable[[], None]
 MIN_ENTRY_FIELDS = 7
 
 
 def do_nothing() -> None:
-    """The call for a message that does not concern the policy."""
+    """Do nothing, as the call for a message that does not concern the policy."""
 
 
 class SimulatedInstance:
-    """One instance of the policy: its host, and the decoder of its events.
+    """One instance of the policy: implements its host and decodes its events.
 
-    The methods `on_...` decode an event, whose name on the wire begins their description, and return the call
-    of the policy that it asks for; the fields they take are those of the wire.
+    Each method `on_...` decodes one event of the protocol, named at the start of its description, and returns
+    the policy call that the event requests. Its parameters are fields of the message.
 
     Attributes:
         lines: Messages to send, oldest first.
-        requests: Open requests by their id on the wire.
-        ids: The ids of the open requests.
-        in_flight: The number of attempts in flight, by request id.
+        requests: Open requests by their id in the protocol.
+        ids: Ids of the open requests in the protocol.
+        in_flight: Number of attempts in flight, by request id.
         upstreams: Upstreams by name.
 
     Args:
-        clock: Holds the time of the batch in its only item, ns.
+        clock: A list of one item, the time of the batch, ns.
         environment: The settings of the instance.
     """
 
@@ -65,14 +65,14 @@
         self.environment = environment
         self.policy = Policy(environment.parameters, self)
 
-    # What the policy asks of its host: see `model.policy_protocol.PolicyHost`.
+    # Calls of the policy to its host, see `model.policy_protocol.PolicyHost`.
 
     def now(self) -> int:
         """Return the time of the batch, ns."""
         return self.clock[0]
 
     def handling_delay(self) -> int:
-        """Return 0: simulated instances handle every event at once."""
+        """Return 0, because simulated instances handle every event immediately."""
         return 0
 
     def start_attempt(
@@ -86,9 +86,9 @@
         join_fill: bool = False,
         refresh: bool = False,
         only_if_cached: bool = False,
-        cache_locally: bool = False,  # an instance here has no local cache
+        cache_locally: bool = False,  # ignored: simulated instances have no local cache
     ) -> Attempt:
-        """Send an attempt."""
+        """Send an attempt to the upstream."""
         attempt = Attempt(request, upstream, fill_source, self.now(), timeout, cache_priority)
         request_id = self.ids[request]
         request.attempts.append(attempt)
@@ -101,8 +101,8 @@
         return attempt
 
     def serve_cached(self, request: Request) -> None:
-        """Raise an error: an instance here has no local cache."""
-        raise MalformedMessageError("an instance here has no local cache")
+        """Raise `MalformedMessageError`, because simulated instances have no local cache."""
+        raise MalformedMessageError("a simulated instance has no local cache to serve a request from")
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel an attempt in flight."""
@@ -120,11 +120,11 @@
         self._finish(request)
 
     def schedule_wakeup(self, after: int) -> None:
-        """Have the simulator send ELAPSED after that many nanoseconds."""
+        """Request an ELAPSED message from the simulator after that many nanoseconds."""
         self.lines.append(f"ARM {encode_time(after)} 1")
 
     def poll_endpoints(self) -> None:
-        """Fetch the endpoint list."""
+        """Request the endpoint list."""
         self.lines.append("WATCH 1")
 
     def probe_load(self, upstream: Upstream) -> None:
@@ -132,7 +132,7 @@
         self.lines.append(f"HEALTH_CHECK {upstream.name.decode()}")
 
     def record_action(self, action: PolicyAction) -> None:
-        """Write an action of the policy to the simulator's record."""
+        """Send an action of the policy to the simulator, which records it."""
         upstream = action.upstream
         self.lines.append(
             f"RECORD {RECORD_BY_ACTION[action.kind]} {upstream.role.name.lower()} {upstream.name.decode()}"
@@ -140,8 +140,8 @@
 
     # Events.
 
-    def on_endpoints(self, form: str, entries: list[list[str]] | None) -> Call:
-        """ENDPOINTS: the endpoint list, a change of it, or the failure to fetch it."""
+    def on_endpoints(self, form: str, entries: list[list[str]] | None) -> PolicyCall:
+        """ENDPOINTS: the endpoint list, a change of the list, or the failure to fetch it."""
         if form == "error":
             return self.policy.endpoints_unavailable
         listed = [self._list_upstream(fields) for fields in entries or ()]
@@ -171,7 +171,7 @@
         group: str,
         part: str,
         options: str,
-    ) -> Call:
+    ) -> PolicyCall:
         """ACCEPT: a new request."""
         now = self.now()
         flags = decode_integer(options)
@@ -190,7 +190,7 @@
         self.in_flight[request_id] = 0
         return partial(self.policy.handle_request, request)
 
-    def on_client_disconnected(self, request_id: str) -> Call:
+    def on_client_disconnected(self, request_id: str) -> PolicyCall:
         """CLIENT_GONE: the client has disconnected."""
         request = self.requests.get(request_id)
         if not request or request.finished:
@@ -201,9 +201,9 @@
         self.policy.client_disconnected(request)
         self._finish(request)
 
-    def on_established(self, request_id: str, attempt_index: str, _upstream: str, latency: str) -> Call:
+    def on_established(self, request_id: str, attempt_index: str, _upstream: str, latency: str) -> PolicyCall:
         """ESTABLISHED: the first bytes of a response have arrived."""
-        decode_time(latency)  # checked, but not used
+        decode_time(latency)  # raises ValueError if it is not a number; not used otherwise
         attempt = self._attempt(request_id, int(attempt_index))
         return partial(self.policy.response_started, attempt) if attempt else do_nothing
 
@@ -217,21 +217,21 @@
         queueing_time: str,
         status: str,
         upstream: str,
-        figures: str,
-    ) -> Call:
-        """ATTEMPT_END: the result of an attempt, with a load report of its upstream."""
+        values: str,
+    ) -> PolicyCall:
+        """ATTEMPT_END: the result of an attempt, with a load report from its upstream."""
         result = RESULT_BY_STATUS[int(status)]
         index = int(attempt_index)
-        self.record_report(upstream, decode_figures(figures))
+        self.store_report(upstream, decode_report_values(values))
         response_source = ResponseSource(decode_integer(source))
-        took, queued = decode_time(latency), decode_time(queueing_time)
+        latency_ns, queueing_ns = decode_time(latency), decode_time(queueing_time)
         attempt = self._attempt(request_id, index)
         if attempt is None or attempt.result is not None:
             return do_nothing
         attempt.result = result
-        attempt.latency = took
+        attempt.latency = latency_ns
         attempt.response_source = response_source
-        attempt.queueing_time = queued
+        attempt.queueing_time = queueing_ns
         self.in_flight[request_id] -= 1
         request = attempt.request
         request.finished = request.finished or request_over == "1"
@@ -242,14 +242,14 @@
         if attempt.request.finished and request_id in self.in_flight and not self.in_flight[request_id]:
             self._forget(attempt.request, request_id)
 
-    def record_report(self, name: str, figures: dict[str, float]) -> None:
-        """Store a load report; one of an unknown upstream is ignored."""
+    def store_report(self, name: str, values: dict[str, float]) -> None:
+        """Store the load report of an upstream; ignore it if the upstream is unknown."""
         upstream = self.upstreams.get(name)
         if upstream:
-            record_load_report(upstream, figures, self.now())
+            record_load_report(upstream, values, self.now())
 
     def _attempt(self, request_id: str, index: int) -> Attempt | None:
-        """Return an attempt of an open request, or None for a late message about one that is forgotten."""
+        """Return an attempt; None if a late message refers to a request that has been removed."""
         request = self.requests.get(request_id)
         if not request or index >= len(request.attempts):
             return None
--- a/marbleglade/simulator/messages.py
+++ b/marbleglade/simulator/messages.py
@@ -1,4 +1,4 @@
-"""The words and figures of the simulator's wire: lines of text, fields separated by a space."""
+"""Constants and field codecs of the simulator's protocol: lines of text with fields separated by a space."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     404: AttemptResult.MISS,
 }
 
-# How RECORD names an action of the policy.
+# Names of policy actions in RECORD messages.
 RECORD_BY_ACTION = {PolicyActionKind.EJECTED: "shut"}
 
-# Bits of the last field of ANSWER_FROM and of ACCEPT.
+# Bits of the last field of ANSWER_FROM (the first three) and of ACCEPT (CLIENT_RETRY_BIT).
 JOIN_FILL_BIT = 1
 ONLY_IF_CACHED_BIT = 2
 REFRESH_BIT = 8
@@ -31,28 +31,28 @@
 
 
 class MalformedMessageError(Exception):
-    """A line that the wire does not allow; the text says which one and why."""
+    """Raised for a line that the protocol does not allow; the message states the reason."""
 
 
 def decode_time(text: str) -> int:
-    """Return milliseconds of the wire as nanoseconds; an absent value is 0."""
+    """Decode a time in milliseconds to nanoseconds; an absent value is 0."""
     return 0 if text == ABSENT else round(float(text) * NS_PER_MS)
 
 
 def decode_integer(text: str) -> int:
-    """Return a whole number, which the wire may write with a decimal point; an absent value is 0."""
+    """Decode an integer, which may be written with a decimal point; an absent value is 0."""
     if text == ABSENT:
         return 0
     return int(float(text)) if "." in text else int(text)
 
 
 def decode_number(text: str) -> float:
-    """Return a number; an absent value is 0."""
+    """Decode a floating-point number; an absent value is 0."""
     return 0.0 if text == ABSENT else float(text)
 
 
-def decode_figures(text: str) -> dict[str, float]:
-    """Return the figures of a load report, written `name:value,...`, by name."""
+def decode_report_values(text: str) -> dict[str, float]:
+    """Decode a load report, written `name:value,...`, to its values by name."""
     if text == ABSENT:
         return {}
     pairs = (pair.split(":") for pair in text.split(","))
@@ -60,5 +60,5 @@
 
 
 def encode_time(nanoseconds: int) -> str:
-    """Return nanoseconds as milliseconds of the wire, rounded down to a microsecond."""
+    """Encode nanoseconds as milliseconds, rounded down to a microsecond."""
     return f"{nanoseconds // 1000 / 1000:.3f}"
--- a/tests/service/test_startup_configuration.py
+++ b/tests/service/test_startup_configuration.py
@@ -27,7 +27,7 @@
     [
         (None, "can't be read"),
         ("{", "can't be read"),
-        ("[]", "no object"),
+        ("[]", "must contain a JSON object"),
         *(
             (
                 json.dumps({key: value for key, value in front_configuration().items() if key != absent}),
