--- a/marbleglade/runtime/clock.py
+++ b/marbleglade/runtime/clock.py
@@ -1,7 +1,7 @@
 """The clocks of this process: monotonic time, and Unix time that is not affected by steps of the wall clock.
 
-Other processes send Unix times. This process compares them with each other and computes how long ago they
-were. The wall clock may be stepped by an hour at any moment, which would swap the order of two times that
+Other processes send Unix times. This process compares them with each other and computes the time since
+then. The wall clock may be stepped by an hour at any moment, which would swap the order of two times that
 are converted before and after the step. So the offset between the two clocks is measured once, when the
 process starts, and used for all conversions. Only log lines show the wall clock itself.
 """
--- a/marbleglade/runtime/loop_monitor.py
+++ b/marbleglade/runtime/loop_monitor.py
@@ -2,7 +2,7 @@
 
 A process that is stopped, or that shares its core with other processes, reads incoming data only when it runs
 again. A timer of the loop ticks every `TICK_PERIOD_NS`; the excess of a longer gap between two ticks is a
-delay. Only ticks are recorded. Recording every poll would cost too much: there are thousands per second.
+delay. Only ticks are recorded. Polls are not, because there are thousands of them per second.
 
 `transport.arrival` uses the ticks to bound arrival times, `runtime.timeouts.TimeLimit` does not count delays,
 the policy adds the mean delay to its predictions, and a shutdown ends open requests earlier by the recent
@@ -73,7 +73,7 @@
 
     @property
     def watching(self) -> bool:
-        """True while the loop is monitored."""
+        """Whether the loop is monitored."""
         return self._timer is not None
 
     @property
@@ -104,7 +104,7 @@
         return int(self._mean_delay)
 
     def recent_delay(self) -> int:
-        """Return the longest recent delay, ns."""
+        """Return the longest recent delay, ns, which decays over time."""
         return max(0, int(self._recent_gap) - TICK_PERIOD_NS)
 
     def snapshot(self) -> dict[str, int]:
--- a/marbleglade/runtime/shutdown.py
+++ b/marbleglade/runtime/shutdown.py
@@ -9,7 +9,7 @@
 CONNECT_WINDOW_NS = 700 * MILLISECOND_NS
 GUARANTEED_DRAIN_NS = 3 * SECOND_NS
 
-# Fractions of the drain time and of the connect window that are reserved for writing the last responses.
+# Divisors of the drain time and of the connect window; the larger quotient is reserved for last responses.
 DRAIN_MARGIN_DIVISOR = 10
 CONNECT_WINDOW_MARGIN_DIVISOR = 7
 
--- a/marbleglade/service/reload.py
+++ b/marbleglade/service/reload.py
@@ -10,7 +10,7 @@
 from ..runtime.error_guard import ErrorGuard
 from ..runtime.errors import InvalidConfigurationError, UnreadableConfigurationError
 from ..transport.discovery_watch import WatchClient
-from .startup_configuration import ReloadedConfiguration, read_reload
+from .startup_configuration import ReloadedConfiguration, read_reloaded_configuration
 
 if TYPE_CHECKING:
     from ..transport.peer_datagrams import PeerSocket
@@ -59,7 +59,7 @@
             self._retry_greenlet.kill(block=False)
             self._retry_greenlet = None
         try:
-            self._apply(read_reload(self._environ))
+            self._apply(read_reloaded_configuration(self._environ))
         except InvalidConfigurationError as error:
             self._log_invalid(error)
             if isinstance(error, UnreadableConfigurationError):
@@ -77,7 +77,7 @@
             gevent.sleep(delay_s)
             delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
             try:
-                self._apply(read_reload(self._environ))
+                self._apply(read_reloaded_configuration(self._environ))
             except UnreadableConfigurationError:
                 self._log.counters.add("configuration_reload.unreadable")
             except InvalidConfigurationError as error:
--- a/marbleglade/service/startup_configuration.py
+++ b/marbleglade/service/startup_configuration.py
@@ -17,7 +17,7 @@
 
 Address = tuple[str, int]  # host and port
 
-# Top-level keys whose values a running front can't change.
+# Top-level keys of the file whose values a running front can't change.
 FIXED_FIELDS = (
     "name",
     "listen",
@@ -128,7 +128,7 @@
     return configuration
 
 
-def read_reload(environ: Mapping[str, str]) -> ReloadedConfiguration:
+def read_reloaded_configuration(environ: Mapping[str, str]) -> ReloadedConfiguration:
     """Read the configuration for a reload.
 
     Raises:
--- a/marbleglade/simulator/messages.py
+++ b/marbleglade/simulator/messages.py
@@ -5,7 +5,7 @@
 from ..model.attempt import AttemptResult
 from ..model.policy_action import PolicyActionKind
 
-ABSENT = "-"  # a field without a value
+ABSENT = "-"  # stands for a field without a value
 NS_PER_MS = 1e6
 
 RESULT_BY_STATUS = {
--- a/tests/runtime/test_addresses.py
+++ b/tests/runtime/test_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses in configurations and endpoint lists: `host:port` with an IPv4 address."""
+"""Parsing of `host:port` addresses with an IPv4 host, as in configurations and endpoint lists."""
 
 from ipaddress import IPv4Address
 
@@ -32,14 +32,14 @@
         "::1:80",
     ],
 )
-def test_what_is_no_address_is_rejected(text):
+def test_an_invalid_address_is_rejected(text):
     with pytest.raises(ValueError):
         parse_address(text)
 
 
 @settings(max_examples=500, deadline=None, derandomize=True)
 @given(HOSTS)
-def test_a_host_is_valid_exactly_if_the_standard_library_reads_it_as_an_ipv4_address(host):
+def test_a_host_is_valid_exactly_if_the_standard_library_parses_it_as_an_ipv4_address(host):
     try:
         expected = str(IPv4Address(host)), 80
     except ValueError:
--- a/tests/runtime/test_error_guard.py
+++ b/tests/runtime/test_error_guard.py
@@ -1,4 +1,4 @@
-"""Exceptions are counted and logged."""
+"""The error guard counts and logs exceptions."""
 
 import os
 
@@ -9,7 +9,7 @@
 from marbleglade.runtime.json_log import Log
 
 
-def test_an_exception_is_counted_and_logged_with_its_line():
+def test_an_exception_is_counted_and_logged_with_its_line_number():
     read, write = os.pipe()
     counters = Counters()
     guard = ErrorGuard(counters, Log("n1", counters, sink=write))
--- a/tests/runtime/test_json_log.py
+++ b/tests/runtime/test_json_log.py
@@ -1,4 +1,4 @@
-"""The log never blocks the process."""
+"""Writing to the log never blocks the process."""
 
 import fcntl
 import os
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def process_timeout():
-    """Ends a test that blocks the whole process: a time-out of greenlets would wait with it."""
+    """Fails a test that blocks the whole process; a gevent timeout could not fire while it is blocked."""
 
     def raise_timeout(*_):
         raise TimeoutError("the process was blocked")
@@ -42,7 +42,7 @@
 
 @pytest.mark.usefixtures("process_timeout")
 def test_a_long_line_on_a_full_pipe_does_not_block():
-    """As the counters with two hundred upstreams: longer than what a writable pipe takes at once."""
+    """A pipe that is ready accepts less at once than a long line, such as the counters of 200 upstreams."""
     read, write = os.pipe()
     fcntl.fcntl(write, fcntl.F_SETPIPE_SZ, 4 * select.PIPE_BUF)
     counters = Counters()
@@ -51,7 +51,7 @@
     log.info("dropped")
     assert counters.table() == {"log.dropped": 1}
     data = b""
-    while not data.endswith(b'"last"}\n'):  # a line that was begun is completed before the next one
+    while not data.endswith(b'"last"}\n'):  # a partly written line is completed before the next one
         data += os.read(read, 1 << 16)
         log.info("last")
     first, *more = map(orjson.loads, data.splitlines())
--- a/tests/runtime/test_shutdown.py
+++ b/tests/runtime/test_shutdown.py
@@ -1,4 +1,4 @@
-"""When a front that shuts down gives up open requests, and when it may exit."""
+"""When a front that shuts down ends open requests, and when it may exit."""
 
 import pytest
 
@@ -17,7 +17,7 @@
         (2 * SECOND_NS, 2.6, 1, False, True),
     ],
 )
-def test_a_front_exits_or_gives_up_by_the_time_since_the_request(
+def test_a_front_exits_or_ends_requests_depending_on_the_time_since_the_shutdown_request(
     timeout, since_s, pending, may_exit, must_give_up
 ):
     shutdown = GracefulShutdown(timeout)
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("timeout_ms, give_up_after_ms", [(5000, 3400), (2000, 2500), (300, 900), (50, 700)])
 def test_open_requests_are_given_up_in_time_to_write_their_responses(timeout_ms, give_up_after_ms):
-    # The kill comes no sooner than the longest timeout (3 s at most) and 0.7 s after SIGTERM.
+    # The front is killed no earlier than 0.7 s plus the longest timeout (at most 3 s) after SIGTERM.
     shutdown = GracefulShutdown(timeout_ms * NS_PER_MS)
     shutdown.request(0)
     assert shutdown.give_up_after == give_up_after_ms * NS_PER_MS
--- a/tests/runtime/test_time_limit.py
+++ b/tests/runtime/test_time_limit.py
@@ -1,4 +1,4 @@
-"""Time limits and loop delays do not count the time for which the process was stalled."""
+"""Time limits do not count the time for which the process was stalled, and loop delays include it."""
 
 from marbleglade.runtime.counters import Counters
 from marbleglade.runtime.json_log import Log
@@ -7,9 +7,9 @@
 from tests.harness.stalled_loop import StalledLoop
 
 
-def test_a_time_limit_leaves_out_the_time_for_which_the_process_was_stalled():
+def test_a_time_limit_does_not_count_the_time_for_which_the_process_was_stalled():
     loop = StalledLoop()
-    loop.delay = 50  # before it began: not counted
+    loop.delay = 50  # before the time limit began, so not counted
     limit = TimeLimit(loop, 1000)
     loop.time, loop.delay = 1199, 250
     assert not limit.expired()
@@ -18,10 +18,10 @@
     assert limit.expired()
 
 
-def test_the_delay_of_a_loop_counts_while_it_lasts():
+def test_a_delay_of_the_loop_counts_before_the_overdue_tick_runs():
     now = [1_000_000_000]
     monitor = LoopMonitor(lambda: now[0], Log("t", Counters(), sink=2))
-    assert monitor.total_delay_until(now[0] + 10**9) == 0  # not watched yet
+    assert monitor.total_delay_until(now[0] + 10**9) == 0  # not monitored yet
     monitor.start()
     try:
         now[0] += 400_000_000
--- a/tests/service/test_deduplication_window.py
+++ b/tests/service/test_deduplication_window.py
@@ -1,4 +1,4 @@
-"""Requests with an effect are retried within their deduplication window and group only."""
+"""Requests with an effect are retried only within their deduplication window and group."""
 
 from __future__ import annotations
 
@@ -21,28 +21,30 @@
 
 
 class Payments:
-    """A class whose repeats a cell drops within the window, and the caches that note its effects."""
+    """A front with a class whose repeats a cell drops within the window, and caches that log its effects."""
 
-    def __init__(self, start: Callable[..., FrontWithCaches], window_ms: int, cells: dict[str, int]) -> None:
+    def __init__(
+        self, start_front: Callable[..., FrontWithCaches], window_ms: int, cells: dict[str, int]
+    ) -> None:
         self.effect_log = EffectLog(window_ms / 1000)
         self.caches = [ScriptedCache(name, cell, self.effect_log) for name, cell in cells.items()]
         settings = front_settings(
             {"ConnectTimeout": LONG_CONNECT_MS}, payment={"KeyTtl": float(window_ms), "Group": "cell"}
         )
-        self.front = start(settings, *self.caches)
+        self.front = start_front(settings, *self.caches)
         self.object_id = object_ranked(*cells)
 
     def send_request(self) -> ClientResponse | None:
-        """One request, for which the policy prefers the caches in the order in which they were named."""
+        """Send one request; the policy prefers the caches in the order of their names in `cells`."""
         return self.front.send_request(self.front.connect_client(), PAYMENT, self.object_id, key=KEY)
 
     def keys(self) -> list[list[str]]:
-        """The keys of the attempts at each cache."""
+        """Return the idempotency keys of the attempts at each cache."""
         return [[attempt.request.idempotency_key for attempt in cache.attempts] for cache in self.caches]
 
 
-def test_a_retry_within_the_window_is_sent_to_a_cache_of_the_group_with_the_same_key(start):
-    payments = Payments(start, LONG_WINDOW_MS, {"s1": 1, "s2": 2, "s3": 1})
+def test_a_retry_within_the_window_is_sent_to_a_cache_of_the_group_with_the_same_key(start_front):
+    payments = Payments(start_front, LONG_WINDOW_MS, {"s1": 1, "s2": 2, "s3": 1})
     first = payments.caches[0]
     first.script = [first.reset]
     response = payments.send_request()
@@ -50,8 +52,8 @@
     assert payments.keys() == [[KEY], [], [KEY]] and payments.effect_log.effects == {KEY: 1}
 
 
-def test_an_attempt_that_may_have_run_is_not_retried_after_the_window(start):
-    payments = Payments(start, SHORT_WINDOW_MS, {"s1": 1, "s2": 1, "s3": 2})
+def test_an_attempt_that_may_have_run_is_not_retried_after_the_window(start_front):
+    payments = Payments(start_front, SHORT_WINDOW_MS, {"s1": 1, "s2": 1, "s3": 2})
     first = payments.caches[0]
     first.script = [first.hold]
     answer = gevent.spawn(payments.send_request)
@@ -59,32 +61,32 @@
     wait_until(lambda: time.monotonic() - first.attempts[0].received_at > SHORT_WINDOW_MS / 1000, SECONDS)
     first.reset(first.attempts[0])
     response = answer.get(timeout=2 * SECONDS)
-    assert response and response.status == "fault"  # a repeat might do harm
+    assert response and response.status == "fault"  # a repeat could apply the effect twice
     assert payments.keys() == [[KEY], [], []] and payments.effect_log.effects == {KEY: 1}
 
 
-def test_an_attempt_that_may_have_run_is_not_retried_outside_its_group(start):
-    payments = Payments(start, LONG_WINDOW_MS, {"s1": 1, "s2": 2, "s3": 2})
+def test_an_attempt_that_may_have_run_is_not_retried_outside_its_group(start_front):
+    payments = Payments(start_front, LONG_WINDOW_MS, {"s1": 1, "s2": 2, "s3": 2})
     first = payments.caches[0]
 
-    def die(attempt: ReceivedAttempt) -> None:
+    def reset_and_refuse(attempt: ReceivedAttempt) -> None:
         first.refuse_connections()
         first.reset(attempt)
 
-    first.script = [die]
+    first.script = [reset_and_refuse]
     response = payments.send_request()
     assert response and response.status == "fault"
     assert payments.keys() == [[KEY], [], []] and payments.effect_log.effects == {KEY: 1}
 
 
-def test_a_retry_whose_connection_is_up_only_after_the_window_is_not_sent(start):
-    payments = Payments(start, MEDIUM_WINDOW_MS, {"s1": 1, "s2": 1, "s3": 2})
+def test_a_retry_whose_connection_is_up_only_after_the_window_is_not_sent(start_front):
+    payments = Payments(start_front, MEDIUM_WINDOW_MS, {"s1": 1, "s2": 1, "s3": 2})
     first, second, _ = payments.caches
     first.script = [first.reset]
     second.hold_connections()
     answer = gevent.spawn(payments.send_request)
     wait_until(lambda: first.attempts, SECONDS)
-    # The repeat was decided on in time, and its connection is coming up.
+    # The retry was decided within the window, and its connection is being established.
     wait_until(lambda: payments.front.counter("attempt.reset") == 1, SECONDS, interval=0.05)
     assert payments.front.counters_event()["upstream_connections"] == 1
     wait_until(lambda: time.monotonic() - first.attempts[0].received_at > MEDIUM_WINDOW_MS / 1000, SECONDS)
--- a/tests/service/test_deploy.py
+++ b/tests/service/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file as the standing test requires it, and the process that its line `run` starts."""
+"""The deploy file as the platform's standing test requires it, and the process that its `run` line starts."""
 
 import importlib.util
 import json
@@ -22,18 +22,18 @@
 from tests.harness.waiting import START_TIMEOUT_SECONDS, wait_until
 
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-# `run` names the environment of the checkout; tests that run in another one use that.
+# `run` uses the virtual environment of the checkout; without one, tests use their own interpreter.
 RUN = (
     DEPLOY["run"]
     if (ROOT / ".venv/bin/python").exists()
     else DEPLOY["run"].replace(".venv/bin/python", sys.executable)
 )
-# Of /proc/net: local address and port in hex, state (0A: listening) and inode stand in these columns.
+# Columns of /proc/net tables: local address and port in hex, state (0A is listening), and inode.
 LOCAL, STATE, INODE = 1, 3, 9
 
 
 def loaded_modules(code: str) -> list[str]:
-    """The modules that are loaded after `code`, in a process of its own."""
+    """Return the modules that are loaded after running `code` in a new process."""
     text = f"{code}\nimport sys\nprint(*sys.modules)"
     return subprocess.run(
         [sys.executable, "-O", "-c", text], cwd=ROOT, capture_output=True, text=True, check=True
@@ -43,7 +43,7 @@
 def test_run_replaces_the_shell_by_one_program():
     line = shlex.shlex(DEPLOY["run"], posix=True, punctuation_chars=True)
     line.whitespace_split = True
-    # Signals that the shell ignores stay ignored by the exec: see the test on signals during the start.
+    # Signals that the shell ignores stay ignored after exec, see the test of a signal during startup below.
     assert list(line) == [
         "trap",
         "",
@@ -60,7 +60,7 @@
 
 
 def test_build_compiles_each_module_as_run_and_sim_load_it(tmp_path):
-    """The file system is read-only at run: what the build does not compile, each start compiles again."""
+    """The file system is read-only at runtime: modules that the build omits are compiled at each start."""
     compile_all = DEPLOY["build"].rpartition(" && ")[2]
     assert compile_all.startswith(".venv/bin/python -m compileall ")
     shutil.copytree(
@@ -79,7 +79,7 @@
 
 
 def test_node_and_policy_list_every_file_that_the_front_loads():
-    # `command` is what `python -m marbleglade WORD` imports; `run` has no word.
+    # The `run` line has no arguments, so it loads these modules and none of the command line.
     modules = {
         module
         for module in loaded_modules("import marbleglade.__main__, marbleglade.service.front_process")
@@ -107,25 +107,25 @@
     assert not refused & set(modules)
 
 
-def start_run(environment: dict[str, str]) -> subprocess.Popen:
-    """Starts what the line `run` says, by /bin/sh -c from the root."""
+def start_run_line(environment: dict[str, str]) -> subprocess.Popen:
+    """Start the `run` line with /bin/sh -c in the root of the repository."""
     return start_process(["/bin/sh", "-c", RUN], subprocess.DEVNULL, environment, folder=ROOT)
 
 
 @pytest.fixture
-def started(tmp_path):
-    """A front that the line `run` has started, and the address of its datagrams."""
+def front_and_peer_address(tmp_path):
+    """A front started by the `run` line, and the address of its datagram socket."""
     with bound_socket(socket.SOCK_DGRAM) as reserved:
         peer_address = reserved.getsockname()
     peer = address_text(peer_address)
     changes = {"peer_listen": peer, "peers": [peer], "peers_all": peer}
     environment = {"TMPDIR": str(tmp_path)}
-    with started_front(tmp_path, changes, lambda given: start_run(given | environment)) as front:
+    with started_front(tmp_path, changes, lambda given: start_run_line(given | environment)) as front:
         yield front, peer_address
 
 
-def sockets(pid: int) -> dict[str, list[tuple[str, str]]]:
-    """The process's sockets by kind: local address and state of each."""
+def open_sockets(pid: int) -> dict[str, list[tuple[str, str]]]:
+    """Return the sockets of a process by kind, with the local address and state of each."""
     owned = set()
     for link in Path(f"/proc/{pid}/fd").iterdir():
         try:
@@ -143,19 +143,19 @@
     return found
 
 
-def hexed(address: tuple[str, int]) -> str:
+def hex_address(address: tuple[str, int]) -> str:
     return f"{int.from_bytes(socket.inet_aton(address[0]), 'little'):08X}:{address[1]:04X}"
 
 
-def test_run_starts_one_process_without_children_and_with_the_configured_sockets_only(started):
-    (process, listen_address, cache, discovery), peer_address = started
+def test_run_starts_one_process_without_children_and_with_the_configured_sockets_only(front_and_peer_address):
+    (process, listen_address, cache, discovery), peer_address = front_and_peer_address
     discovery.sockets[0].sendall(GROUP_PURGE_LINE % (3, 9) + b"3\n")
     sock = socket.create_connection(listen_address)
     sock.sendall(resp_array(b"STATUS", b"1", b"") + numbered_request(2, 2))
     assert sock.recv(4096) == resp_array(b"1", b"yes", b"", b"")
-    cache.wait_for_lines(1)  # it is busy: an attempt is in flight
+    cache.wait_for_lines(1)  # the front is busy: an attempt is in flight
     pid = process.pid
-    # By exec: the process of the shell is the front itself, and it has started no other.
+    # Because of exec, the shell's process is now the front, which has no child process.
     assert Path(f"/proc/{pid}/cmdline").read_bytes().split(b"\0")[1:4] == [b"-O", b"-m", b"marbleglade"]
     tasks = list(Path(f"/proc/{pid}/task").iterdir())
     children = [child for task in tasks for child in (task / "children").read_text().split()]
@@ -165,14 +165,14 @@
         if path.name.isdigit() and path.joinpath("stat").exists()
     }
     assert children == [] and str(pid) not in parents.values()
-    # Linked dynamically, so that preloaded libraries take effect.
+    # The interpreter is linked dynamically, so that preloaded libraries take effect.
     maps = Path(f"/proc/{pid}/maps").read_text()
     assert "/ld-linux" in maps and "libc.so" in maps
-    found = sockets(pid)
+    found = open_sockets(pid)
     assert set(found) == {"tcp", "udp"}
-    assert [local for local, state in found["tcp"] if state == "0A"] == [hexed(listen_address)]
-    assert [local for local, _ in found["udp"]] == [hexed(peer_address)]
-    # Those to the discovery service and to one upstream, and the client's.
+    assert [local for local, state in found["tcp"] if state == "0A"] == [hex_address(listen_address)]
+    assert [local for local, _ in found["udp"]] == [hex_address(peer_address)]
+    # Established connections: to the discovery service, to one upstream, and from the client.
     assert len([state for _, state in found["tcp"] if state == "01"]) == 3
     cache.sockets[0].sendall(with_entity_fields(cache.lines[0].split()[1].encode() + b" HIT - 2\r\nok\r\n"))
     assert sock.recv(4096) == resp_array(b"2", b"ok", b"", b"ok")
@@ -183,7 +183,7 @@
 
 @pytest.mark.parametrize("signal_number", [signal.SIGHUP, signal.SIGUSR1])
 def test_a_signal_before_the_program_can_handle_it_ends_no_front(tmp_path, signal_number):
-    """All fronts are reloaded while some have just been started; Python takes 20 ms to load."""
+    """A reload signal to all fronts may reach one that has just started: Python takes 20 ms to load."""
     discovery = LineServer()
     (tmp_path / "c.json").write_text(
         json.dumps(
@@ -192,10 +192,10 @@
             )
         )
     )
-    process = start_run({"GW_CONFIG": str(tmp_path / "c.json")})
+    process = start_run_line({"GW_CONFIG": str(tmp_path / "c.json")})
     try:
         path = Path(f"/proc/{process.pid}/cmdline")
-        # The shell was replaced; during an exec the line is empty, as is the shell's own.
+        # Waits until exec has replaced the shell; /proc shows no such argument before and during exec.
         wait_until(lambda: path.read_bytes().split(b"\0")[1:2] == [b"-O"], interval=0)
         process.send_signal(signal_number)
         assert discovery.wait_for_lines(1, START_TIMEOUT_SECONDS) == "follow 2"
--- a/tests/service/test_front_process.py
+++ b/tests/service/test_front_process.py
@@ -1,4 +1,4 @@
-"""A front as a process: giving up open requests, reload and graceful shutdown."""
+"""A front as a process: reload, graceful shutdown, and the end of open requests before the kill."""
 
 import json
 import signal
@@ -22,11 +22,11 @@
 
 
 class SteppedLoop:
-    """The components of a front with one open request, on a clock that moves only while the front sleeps.
+    """Components of a front with one open request, on a clock that advances only while the front sleeps.
 
     Args:
-        period: ns between two timers of the policy.
-        phase: ns by which the timers are shifted.
+        period: Time between two timers of the policy, ns.
+        phase: Offset of the timers, ns.
     """
 
     def __init__(self, period: int, phase: int) -> None:
@@ -69,7 +69,7 @@
         self.check_shutdown()
 
     def check_shutdown(self) -> None:
-        """Records when open requests first have to be given up."""
+        """Record the first time at which open requests must be ended."""
         if not self.must_give_up_at and self.shutdown.must_give_up(self.now, self.monitor.recent_delay()):
             self.must_give_up_at = self.now
 
@@ -83,13 +83,13 @@
 
 @pytest.mark.parametrize("phase", range(0, 125, 5))
 def test_giving_up_open_requests_does_not_wait_for_a_timer_of_the_policy(monkeypatch, phase):
-    """Each tick of the loop may change the margin: requests are given up within one tick of its end."""
+    """Each loop tick may move the time at which requests must end; they end at most one tick later."""
     loop = SteppedLoop(125 * NS_PER_MS, phase * NS_PER_MS)
     monkeypatch.setattr(LoopMonitor, "watching", True)
     monkeypatch.setattr(front_process, "clock", SimpleNamespace(now=lambda: loop.now))
     monkeypatch.setattr(front_process, "gevent", SimpleNamespace(sleep=loop.sleep))
     front = front_process.FrontProcess(loop.components)
-    loop.now += 400 * NS_PER_MS  # the process was stopped as SIGTERM arrived
+    loop.now += 400 * NS_PER_MS  # the process was stopped while SIGTERM arrived
     loop.tick()
     loop.shutdown.request(loop.now)
     front.serve()
@@ -122,7 +122,7 @@
     sock.sendall(numbered_request(2, 2))
     cache.wait_for_lines(1)
     process.send_signal(signal.SIGTERM)
-    assert reload(text)["last_event"] == 3  # again, and while it stops
+    assert reload(text)["last_event"] == 3  # a reload is also applied during the shutdown
     assert discovery.wait_for_lines(2) == "follow 3" and discovery.lines == ["follow 2", "follow 3"]
     cache.sockets[0].sendall(with_entity_fields(cache.lines[0].split()[1].encode() + b" HIT - 2\r\nok\r\n"))
     assert sock.recv(4096) == resp_array(b"2", b"ok", b"", b"ok")
@@ -144,7 +144,7 @@
     assert ",miss=h1,prio=1 0" in cache.lines[0]
     process.send_signal(signal.SIGTERM)
     gevent.sleep(0.1)
-    late = socket.create_connection(client_address)  # it still accepts clients
+    late = socket.create_connection(client_address)  # the front still accepts clients
     late.sendall(numbered_request(1, 3))
     cache.wait_for_lines(2)
     gevent.sleep(0.8)
--- a/tests/service/test_plain_front.py
+++ b/tests/service/test_plain_front.py
@@ -1,4 +1,4 @@
-"""A front without peers, fleet, control nodes and disk loads none of their modules."""
+"""A front without peers, fleet, control nodes and disk cache does not load the modules for them."""
 
 import subprocess
 import sys
@@ -23,10 +23,10 @@
     return subprocess.run(command, check=True, capture_output=True, text=True).stdout.split()
 
 
-def test_modules_of_a_front_are_listed(loaded_modules):
+def test_the_loaded_modules_include_those_that_each_front_needs(loaded_modules):
     assert {"marbleglade.service.wiring", "marbleglade.policy.policy"} <= set(loaded_modules)
 
 
 @pytest.mark.parametrize("unused", UNUSED)
-def test_what_a_plain_front_does_not_use_is_not_loaded(loaded_modules, unused):
+def test_a_plain_front_does_not_load_modules_that_it_does_not_use(loaded_modules, unused):
     assert [name for name in loaded_modules if name == unused or name.startswith(f"{unused}.")] == []
--- a/tests/service/test_request_log.py
+++ b/tests/service/test_request_log.py
@@ -1,4 +1,4 @@
-"""What the log tells of one request, and how late the event loop is found to be."""
+"""The timeline of one request from the log, and the measured delay of the event loop."""
 
 import json
 import time
@@ -25,7 +25,7 @@
         line(1000, "ready"),
         line(1001, "read", trace=TRACE, client=3, tag=7),
         line(1001, "read", trace="0" * 16, client=4, tag=7),
-        "no line of the log",
+        "not a line of the log",
         line(1002, "attempt", trace=TRACE, upstream="c1", timeout_ms=900),
         line(1003, "cancelled", client=3, tag=8),
         line(1003, "cancelled", client=4, tag=7),
@@ -39,7 +39,7 @@
 )
 
 
-def test_the_timeline_of_a_request_holds_what_bears_on_it_and_nothing_else():
+def test_the_timeline_of_a_request_contains_exactly_the_events_that_affect_it():
     result = CliRunner().invoke(timeline, [TRACE], input=LOG)
     fields = [text.split() for text in result.output.splitlines()]
     assert [(offset, event) for offset, _, _, event, *_ in fields] == [
@@ -53,25 +53,25 @@
     assert result.exit_code == 0 and "reason=client_left" in result.output
 
 
-def test_a_request_that_the_log_does_not_hold_is_an_error():
+def test_the_timeline_of_a_request_that_is_not_in_the_log_is_an_error():
     result = CliRunner().invoke(timeline, ["f" * 16], input=LOG)
     assert result.exit_code == 1
 
 
-def test_a_gap_between_two_polls_is_found_and_a_busy_loop_is_not_late(tmp_path):
+def test_a_long_gap_between_two_polls_is_measured_and_a_busy_loop_shows_no_delay(tmp_path):
     with (tmp_path / "log").open("wb") as sink:
         monitor = LoopMonitor(clock.now, Log("n1", Counters(), sink=sink.fileno()))
         monitor.start()
         gevent.sleep(0.3)
-        before = monitor.snapshot()
-        oldest = clock.now() - monitor.sockets_empty_at
-        time.sleep(0.3)  # no turn for anybody
+        snapshot_before_stop = monitor.snapshot()
+        age_before_stop = clock.now() - monitor.sockets_empty_at
+        time.sleep(0.3)  # blocks the event loop
         gevent.sleep(0)
-        held = clock.now() - monitor.sockets_empty_at
+        age_after_stop = clock.now() - monitor.sockets_empty_at
         gevent.sleep(0.05)
         delay = monitor.mean_delay()
         monitor.stop()
-    assert before["ticks"] >= 10 and oldest < 5 * TICK_PERIOD_NS
-    assert held >= 300 * NS_PER_MS and monitor.longest_gap >= 300 * NS_PER_MS
-    assert 1 * NS_PER_MS < delay < 10 * NS_PER_MS  # one stop says little
+    assert snapshot_before_stop["ticks"] >= 10 and age_before_stop < 5 * TICK_PERIOD_NS
+    assert age_after_stop >= 300 * NS_PER_MS and monitor.longest_gap >= 300 * NS_PER_MS
+    assert 1 * NS_PER_MS < delay < 10 * NS_PER_MS  # a single stop hardly changes the mean delay
     assert json.loads((tmp_path / "log").read_bytes().splitlines()[0])["event"] == "loop_late"
--- a/tests/service/test_restart_readiness.py
+++ b/tests/service/test_restart_readiness.py
@@ -1,4 +1,4 @@
-"""Twenty real fronts restart at once while the discovery service is slow, refuses, or can't be reached."""
+"""Twenty front processes restart at once while discovery is slow, refuses connections or is unreachable."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from tests.harness.waiting import wait_until
 
 FRONTS = 20
-READY_S = 10.0  # for nine in ten
-MAX_READY_S = 30.0  # for each
-RETURN_S = 8.0  # in which all watch a discovery service that has returned: it is tried four times a second
+READY_S = 10.0  # limit for nine in ten fronts
+MAX_READY_S = 30.0  # limit for each front
+RETURN_S = 8.0  # limit for all fronts to watch discovery again; they try to connect four times a second
 
 
 @pytest.fixture(scope="module")
@@ -28,16 +28,19 @@
     front_fleet = FrontFleet(
         FRONTS, tmp_path_factory.mktemp("restart"), 51, cooperating=False, peer_messages=False
     )
-    event_lines, first = front_fleet.discovery_services[0].event_lines, front_fleet.discovery_services
+    event_lines, initial_services = (
+        front_fleet.discovery_services[0].event_lines,
+        front_fleet.discovery_services,
+    )
     front_fleet.wait_until_ready(2 * MAX_READY_S)
     yield front_fleet, event_lines
-    for service in first:
+    for service in initial_services:
         service.close()
     assert not (errors := front_fleet.close()), errors
 
 
 class SlowDiscovery:
-    """Connections are accepted, and nothing is sent on them before it returns."""
+    """A discovery service that accepts connections and sends nothing on them until `bring_back`."""
 
     def __init__(self, event_lines: list[bytes]) -> None:
         self.held = GatedDiscovery()
@@ -45,14 +48,14 @@
         self.addresses = [self.held.address]
 
     def bring_back(self) -> list[DiscoveryService]:
-        """Sends everything that it held back."""
-        assert self.held.connected >= FRONTS  # each has connected, and waited in vain
+        """Send everything that was held back."""
+        assert self.held.connected >= FRONTS  # each front has connected and received nothing
         self.held.released.set()
         return [self.held]
 
 
 class AbsentDiscovery:
-    """One address refuses connections; at the other they are neither accepted nor refused."""
+    """Two discovery addresses: one refuses connections, the other neither accepts nor refuses them."""
 
     def __init__(self, event_lines: list[bytes]) -> None:
         self.event_lines, self.refusing, self.unreachable = (
@@ -63,7 +66,7 @@
         self.addresses = [self.refusing.getsockname(), self.unreachable.address]
 
     def bring_back(self) -> list[DiscoveryService]:
-        """Listens at both addresses."""
+        """Start a discovery service at each address."""
         self.unreachable.close()
         self.refusing.close()
         return [returned_discovery(address, self.event_lines) for address in self.addresses]
@@ -71,19 +74,19 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownDiscovery:
-    """What the start of a front reads of its discovery service, while there is none."""
+    """Address and events for the startup configuration of a front while no discovery service runs."""
 
     address: tuple[str, int]
     event_lines: list[bytes]
 
     def close(self) -> None:
-        """Do nothing: nothing is open."""
+        """Do nothing, because nothing is open."""
 
 
 @pytest.mark.parametrize(
     "stop_signal, discovery",
     [(signal.SIGTERM, SlowDiscovery), (signal.SIGKILL, AbsentDiscovery)],
-    ids=["graceful beside a slow one", "killed beside an absent one"],
+    ids=["graceful stop, slow discovery", "kill, absent discovery"],
 )
 def test_nine_in_ten_of_twenty_fronts_that_restart_at_once_are_ready_within_ten_seconds(
     fleet, stop_signal, discovery
@@ -97,11 +100,11 @@
     ready_s = sorted(start.own_seconds for start in start_all(fleet, MAX_READY_S))
     assert sum(seconds <= READY_S for seconds in ready_s) * 10 >= FRONTS * 9, ready_s
     assert ready_s[-1] < MAX_READY_S, ready_s
-    served = [
-        gevent.spawn(request_one, address, number + 1)
+    requests = [
+        gevent.spawn(check_front_serves, address, number + 1)
         for number, address in enumerate(fleet.client_addresses)
     ]
-    gevent.joinall(served, raise_error=True)  # they serve, as they report
+    gevent.joinall(requests, raise_error=True)  # fronts that log `ready` serve requests
     returned = absent.bring_back()
     fleet.discovery_services = [returned[n % len(returned)] for n in range(FRONTS)]
     wait_until(lambda: sum(len(service.watchers) for service in returned) == FRONTS, RETURN_S)
@@ -110,8 +113,8 @@
     wait_until(lambda: purges_received(fleet) == [1] * FRONTS, RETURN_S, interval=0.1)
 
 
-def request_one(address: tuple[str, int], number: int) -> None:
-    """A client requests an object of its own from that front, and gets it."""
+def check_front_serves(address: tuple[str, int], number: int) -> None:
+    """Request an object from a front with a new client, and check that it is served."""
     client = Client(address, number)
     response = client.request("menu-pages", number << 32, timeout_ms=2500)
     client.close()
@@ -119,7 +122,7 @@
 
 
 def purges_received(fleet: FrontFleet) -> list[int]:
-    """How many purges each front has received since its start."""
+    """Return the number of purges that each front has received since its start."""
     events = [gevent.spawn(fleet.counters_event, number) for number in range(FRONTS)]
     gevent.joinall(events, raise_error=True)
     return [event.value["counts"].get("purge.received", 0) for event in events]
--- a/tests/service/test_shutdown_races.py
+++ b/tests/service/test_shutdown_races.py
@@ -1,6 +1,6 @@
 """Races between the shutdown of a front and its clients. `docs/crossings.md` has a line for each.
 
-The order of events is forced by stand-ins that hold and release bytes, and by calls of the listener.
+Test doubles that hold back and release bytes, and calls of the listener, force the order of events.
 """
 
 import json
@@ -53,12 +53,13 @@
     process.send_signal(signal.SIGTERM)
     while orjson.loads(process.stderr.readline())["event"] != "stopping":
         pass
-    os.kill(process.pid, signal.SIGSTOP)  # from here on nothing is read, and the kernel accepts everything
+    # From now on the front reads nothing, but the kernel accepts connections and data.
+    os.kill(process.pid, signal.SIGSTOP)
     sock.sendall(numbered_request(2, 2))
     late = socket.create_connection(client_address)
     late.settimeout(TIMEOUT_SECONDS)
     late.sendall(numbered_request(1, 3))
-    time.sleep(0.9)  # clients may no longer connect when it continues
+    time.sleep(0.9)  # longer than the 0.7 s in which clients may connect
     os.kill(process.pid, signal.SIGCONT)
     cache.wait_for_lines(2)
     for line, back in zip(cache.lines, cache.line_sockets, strict=True):
@@ -80,17 +81,17 @@
     )
     sock.sendall(
         resp_array(b"STATUS", b"9", b"") * 50
-    )  # crosses it: the reader has its turn at the next wait
+    )  # sent before the close but read after it, because readers run at the next wait
     front.client_listener.connections.close_all_gracefully()
     assert read_bytes(sock, 1 << 16) == resp_array(
         b"7", b"ok", b"", b"x" * 2_000
-    )  # and then an end, no reset
+    )  # followed by the end of the stream, not a reset
     sock.close()
     wait_until(lambda: not front.client_listener.connections.closing)
 
 
 def test_all_clients_of_a_graceful_close_at_once_can_read_their_responses(front):
-    """Each has time for it, however many there are: a close with unread bytes would be a reset."""
+    """Each client has time for it, however many there are: closing with unread bytes would reset it."""
     front.serve_from_local_cache(2_000)
     socks = [front.connect_client() for _ in range(3)]
     for sock in socks:
@@ -110,7 +111,7 @@
 
 @pytest.mark.parametrize("state", ["connecting", "waiting", "timed out"])
 def test_giving_up_answers_a_request_in_any_state(front, connection_gate, state):
-    """An attempt whose connection is being opened, one that hangs, and one that times out just then."""
+    """The attempt's connection is being opened, its response is awaited, or its timeout is due just then."""
     if state != "connecting":
         connection_gate.set()
     sock = front.connect_client()
@@ -119,7 +120,7 @@
     if state != "connecting":
         front.cache.wait_for_lines(1)
     if state == "timed out":
-        time.sleep(0.04)  # no greenlet runs: both are due at once
+        time.sleep(0.04)  # no greenlet runs, so that the timeout is due when the requests are given up
     front.policy_driver.give_up_all()
     front.policy_driver.give_up_all()
     response = sock.recv(4096)
@@ -139,7 +140,7 @@
 
 @pytest.fixture
 def starting_front(tmp_path):
-    """A front during its start: it waits for its configuration, a pipe that `write_configuration` writes."""
+    """A front during startup, waiting for its configuration from a pipe, and a function that writes it."""
     path = tmp_path / "c.json"
     client_address = f"127.0.0.1:{free_port()}"
     os.mkfifo(path)
--- a/tests/service/test_silent_discovery.py
+++ b/tests/service/test_silent_discovery.py
@@ -1,4 +1,4 @@
-"""Events of a discovery service that falls silent after a reload are applied."""
+"""Events are applied although the discovery service stops sending on an open connection after a reload."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from tests.harness.settings import ORDER, PAGE, front_settings
 from tests.harness.waiting import wait_until
 
-DISCOVERY_SECONDS = 7.0  # seconds after which what a discovery service has to tell counts as told
+DISCOVERY_SECONDS = 7.0  # limit within which events of the discovery service must be applied
 REQUESTS = 10
 
 
-def test_events_during_a_silence_of_discovery_after_a_reload_are_applied(start):
+def test_events_during_a_silence_of_discovery_after_a_reload_are_applied(start_front):
     first, second = ScriptedCache("s1"), ScriptedCache("s2")
     settings = front_settings()
-    front = start(settings, first, second)
+    front = start_front(settings, first, second)
     client, drained, purged = front.connect_client(), object_ranked("s1", "s2"), object_ranked("s2", "s1")
     moved = ScriptedDiscovery(front.discovery)
     front.move_to(settings, moved)
     wait_until(lambda: moved.watchers, SECONDS)
-    moved.purge(0, 99, 1)  # it speaks
+    moved.purge(0, 99, 1)  # the new connection works
     wait_until(lambda: front.counter("purge.received") == 1, SECONDS, interval=0.05)
 
-    # The front holds a copy of its own, and gives it out.
+    # The front has a copy of the object in its local cache and serves requests from it.
     while not front.counter("request.served_from_local_cache"):
         assert front.send_request(client, PAGE, purged).status == "ok"
     at_second = len(second.attempts)
     assert front.send_request(client, PAGE, purged).status == "ok" and len(second.attempts) == at_second
 
-    # Both are told while nothing is said on the connection, which stays open.
+    # The drain and the purge are announced while nothing is sent on the connection, which stays open.
     moved.fall_silent()
     silent_since = time.monotonic()
     purged_at = time.time_ns() // 1_000_000
@@ -53,5 +53,5 @@
         front.send_request(client, PAGE, purged).status == "ok"
         and len(second.attempts) == at_second + REQUESTS + 1
     )
-    age = second.attempts[-1].request.max_age_ms  # the oldest copy that will do, in milliseconds
+    age = second.attempts[-1].request.max_age_ms  # maximum age of a copy that the request accepts, ms
     assert 0 < age <= second.attempts[-1].received_unix_ms - purged_at
--- a/tests/service/test_startup_configuration.py
+++ b/tests/service/test_startup_configuration.py
@@ -1,4 +1,4 @@
-"""Which configurations a front starts with."""
+"""Valid and invalid startup configurations of a front."""
 
 import json
 
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's protocol: batches of messages, and the replies of the adapter."""
+"""The simulator's protocol: batches of messages and the replies of the adapter."""
 
 import io
 import json
@@ -18,7 +18,7 @@
 
 
 def replies_to(*batches):
-    """Return the lines with which the adapter replies to batches of messages."""
+    """Return the lines that the adapter replies to these batches of messages."""
     lines = "".join(
         f"ROUND {number * 10}.5 {number}\n{batch}COMMIT\n" for number, batch in enumerate(batches, 1)
     )
@@ -28,7 +28,7 @@
 
 
 def accept(request_id, time_left="2400.0"):
-    """Return the message that brings a new request."""
+    """Return the ACCEPT message of a new request."""
     return f"ACCEPT {request_id} 0 - 77 {time_left} - 3 - 0\n"
 
 
@@ -40,12 +40,12 @@
     [
         (["", ""], ["ACK 1", "ACK 2"]),
         (["SWITCH_TO 3\n" + START + accept("t/a")], ["AS 3", "ARM 18.750 1", FIRST_ATTEMPT, "ACK 1"]),
-        # restarted under the same number in one batch: the messages of the old instance are dropped
+        # an instance restarts under the same number within a batch: messages of the old instance are dropped
         (
             ["SWITCH_TO 3\n" + START + accept("t/b") + "SHUTDOWN\n" + START + accept("t/a")],
             ["AS 3", "ARM 18.750 1", FIRST_ATTEMPT, "ACK 1"],
         ),
-        # a list number used again within a batch is resolved in the order of events
+        # a list number is reused within a batch: each event refers to the list received last before it
         (
             [
                 "SWITCH_TO 3\n"
@@ -84,11 +84,11 @@
         ),
     ],
 )
-def test_each_batch_gets_its_replies(batches, replies):
+def test_the_adapter_replies_to_each_batch(batches, replies):
     assert replies_to(*batches) == replies
 
 
-def test_probes_are_sent_and_reports_reach_the_cache():
+def test_load_probes_are_sent_and_their_reports_accepted():
     probing = json.loads(json.dumps(FRONT_SETTINGS))
     probing["Limits"]["Probing"] = True
     probing["Report"] = {"Names": ["x1"], "Via": "probe"}
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(
-    "batch, named",
+    "batch, expected",
     [
         ("SWITCH_TO 4\nELAPSED 1\n", "never started"),
         ("SWITCH_TO 4\nHELLO\n", "unknown message HELLO"),
@@ -115,21 +115,21 @@
         ("ROUND 5.0 9\n", "open already"),
     ],
 )
-def test_malformed_lines_are_named(batch, named):
+def test_the_error_for_a_malformed_line_gives_its_number_and_cause(batch, expected):
     with pytest.raises(MalformedMessageError, match=r"line [0-9]+: ") as raised:
         replies_to(batch)
-    assert named in str(raised.value)
+    assert expected in str(raised.value)
 
 
-def test_an_ejection_is_recorded_in_the_words_of_the_simulator():
+def test_an_ejection_is_recorded_with_the_name_that_the_simulator_uses():
     instance = SimulatedInstance([0], read_environment(FRONT_SETTINGS, 5))
     instance.lines.clear()
     instance.record_action(PolicyAction(PolicyActionKind.EJECTED, Upstream(b"p:1", UpstreamRole.PARENT)))
     assert instance.lines == ["RECORD shut parent p:1"]
 
 
-def test_instances_share_nothing():
-    """An instance acts beside a busy other one as it does alone."""
+def test_instances_are_independent():
+    """An instance sends the same messages beside a busy instance as it does alone."""
     alone = replies_to("SWITCH_TO 3\n" + START + accept("t/a"))
     busy = replies_to(
         "SWITCH_TO 5\n"
