--- a/marbleglade/transport/client_connection.py
+++ b/marbleglade/transport/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: its open requests, its messages that wait, and its unread bytes."""
+"""The state of one client connection: open requests, pending messages and buffered bytes."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from .request_service import RequestT
 from .sockets import peek
 
-MAX_PEEKED_BYTES = 1 << 18  # of a client's unread messages that are searched for a cancel
+MAX_PEEKED_BYTES = 1 << 18  # unread bytes of a connection that are searched for a cancel
 
 
 @dataclass(slots=True, eq=False)
 class ReceivedMessage:
-    """A message that was read and waits until it is handled.
+    """A message that was read and is queued for the dispatcher.
 
     Attributes:
-        strings: The strings of its frame.
-        earliest_arrival: The earliest moment at which it may have arrived, ns of the monotonic clock.
+        strings: The strings of the message's frame.
+        earliest_arrival: The earliest time at which the message may have arrived, ns of the monotonic clock.
     """
 
     strings: list[bytes]
@@ -35,26 +35,27 @@
 
 
 class ClientConnection(Generic[RequestT]):
-    """The state of one connection; the parts that read, handle and write share it.
+    """The state of one connection, shared by its reader, dispatcher and writer.
 
     Attributes:
         number: Identifies the connection in the log.
-        open_requests: The requests without a response yet, by tag.
+        open_requests: The requests that have no response yet, by tag.
         pending_messages: Messages that were read and are not handled yet.
-        write_lock: Held by the greenlet that writes.
+        write_lock: Held by the greenlet that writes to the connection.
         immediate_responses: Encoded responses from the reader's greenlet, to be written together.
-        flush_done: Set once these are written; None unless the operating system did not take them at once.
+        flush_done: Set once the immediate responses are written; None if no greenlet is writing them.
         accepted_at: When the connection was accepted, ns.
-        active_at: When something was last read or written, ns.
-        unfinished_since: Since when the first message, or the rest of one, is waited for, ns; 0: for none.
-        has_sent_message: A complete message has arrived.
-        has_sent_request: A request has arrived.
-        consecutive_unserved: Messages in a row that could not be used.
-        partial_frame_bytes: Buffered bytes of a frame that is not complete.
-        input_ended: Further input is discarded.
-        half_closed: The end of its input was read.
-        end_detected: That end was detected, though bytes before it may lie unread.
-        closed: Nothing can be written any more.
+        active_at: When bytes were last read or written, ns.
+        unfinished_since: Start of the wait for the first message or for the rest of a partial one, ns; 0 if
+            neither is awaited.
+        has_sent_message: Whether a complete message has arrived.
+        has_sent_request: Whether a request has arrived.
+        consecutive_unserved: Number of messages in a row that were rejected or unusable.
+        partial_frame_bytes: Buffered bytes of an incomplete frame.
+        input_ended: Whether further input is discarded.
+        half_closed: Whether the end of the client's input (FIN) was read.
+        end_detected: Whether that end was detected; bytes before it may still be unread.
+        closed: Whether the socket is closed.
     """
 
     numbers = itertools.count(1)
@@ -88,7 +89,7 @@
 
     @property
     def has_pending_responses(self) -> bool:
-        """True while something has to be handled, answered or written."""
+        """Whether a message has yet to be handled, or a response has yet to be written."""
         return bool(
             self.open_requests
             or self.immediate_responses
@@ -98,20 +99,20 @@
         )
 
     def cancelled_tag(self, strings: list[bytes]) -> int:
-        """Return the tag of the request that a message cancels; 0 if it is no cancel."""
+        """Return the tag of the request that a message cancels; 0 if the message is not a cancel."""
         if strings[0] != b"NEVERMIND":
             return 0
         try:
             return decode_message(strings, self._request_classes).tag
-        except InvalidFrameError:  # ends the connection once it is handled
+        except InvalidFrameError:  # the dispatcher will end the connection
             return 0
 
     def has_pending_cancel(self, tag: int) -> bool:
-        """Return whether a cancel of this request was read and not handled yet."""
+        """Return whether a cancel of this request is queued."""
         return any(self.cancelled_tag(message.strings) == tag for message in self.pending_messages)
 
     def has_unread_cancel(self, tag: int) -> bool:
-        """Return whether a cancel of this request lies unread on the socket; reads nothing from it."""
+        """Return whether a cancel of this request is unread on the socket; consumes no bytes."""
         data = peek(self.sock, MAX_PEEKED_BYTES) or b""
         if b"NEVERMIND" not in self.frames.buffer + data and not self.frames.strings:
             return False
--- a/marbleglade/transport/client_end_detector.py
+++ b/marbleglade/transport/client_end_detector.py
@@ -1,7 +1,7 @@
-"""Notices that a client has left or cancelled, also where its end or its cancel was not read yet.
+"""Detects that a client has closed its connection or cancelled a request, even in input not read yet.
 
-A front whose process was not scheduled, or that is still processing a client's earlier messages, would
-otherwise send attempts for a client that has left.
+Otherwise a front whose process was not scheduled, or that is still processing earlier messages of a client,
+would send attempts for a client that has left.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from .half_close import peer_has_closed, unread_input
 from .request_service import RequestService, RequestT
 
-# Half of the time that the operators allow between a client's end and the last attempt for it. Only a delayed
-# loop, or a long queue of messages, leaves bytes unread for so long.
+# Half of the time that the operators allow between a client's departure and the last attempt for it. Bytes
+# stay unread for so long only if the event loop is delayed or a long queue of messages is being processed.
 MAX_UNREAD_NS = 50 * MILLISECOND_NS
 
 
 class ClientEndDetector(Generic[RequestT]):
-    """Applies the end of a connection, and cancels, to the open requests.
+    """Ends open requests, or stops their attempts, when their client cancels or closes its side.
 
     Args:
-        service: Notified of requests whose client has left.
+        service: Notified of requests whose client has cancelled, half-closed or disconnected.
         clock: The monotonic clock, ns.
-        guard: Records exceptions; has the log and the counters.
+        guard: Records exceptions, and provides the log and the counters.
     """
 
     def __init__(
@@ -39,41 +39,42 @@
         self._log = guard.log
 
     def check_request(self, client: ClientConnection[RequestT], tag: int) -> None:
-        """Apply the end of a client, or its cancel of a request, before an attempt is sent for that request.
+        """Handle a departure of the client, or a cancel of the request, before an attempt is sent for it.
 
-        Makes no system call unless bytes may have been unread for longer than `MAX_UNREAD_NS`.
+        Called before each attempt. Makes no system call unless bytes may have been unread for longer than
+        `MAX_UNREAD_NS`.
         """
         if tag not in client.open_requests:
             return
         if client.has_pending_cancel(tag):
             self.cancel(client, tag)
         elif client.arrivals.may_have_waited(self._clock(), MAX_UNREAD_NS):
-            unread_now = unread_input(client.sock)
-            if unread_now.ended:
+            unread = unread_input(client.sock)
+            if unread.ended:
                 self.check_connection(client)
-            if unread_now.readable and client.has_unread_cancel(tag):
+            if unread.readable and client.has_unread_cancel(tag):
                 self.cancel(client, tag)
 
     def check_connection(self, client: ClientConnection[RequestT]) -> None:
-        """Apply the end of a client that has closed its side, though not all that it sent is read."""
+        """Check whether the client has closed its side, even if bytes before the end are unread, and handle it."""
         if client.end_detected or client.closed or not peer_has_closed(client.sock):
             return
         client.end_detected = True
-        self.half_closed(client)
+        self.connection_half_closed(client)
 
-    def half_closed(self, client: ClientConnection[RequestT]) -> None:
-        """Send no further attempts for the open requests of a client that sends no more."""
+    def connection_half_closed(self, client: ClientConnection[RequestT]) -> None:
+        """Stop further attempts for all open requests of a client that has closed its side."""
         if self._log.debug_on:
             self._log.debug("client_left", client=client.number, open=len(client.open_requests))
         for request in list(client.open_requests.values()):
             self.request_half_closed(request)
 
     def request_half_closed(self, request: RequestT) -> None:
-        """Send no further attempts for a request whose client sends no more."""
+        """Stop further attempts for a request whose client has closed its side."""
         self._guard.call("client_half_closed", self._service.client_half_closed, request)
 
     def cancel(self, client: ClientConnection[RequestT], tag: int) -> None:
-        """End a request that its client cancelled, unless it was answered before."""
+        """End a request that its client cancelled, unless it has already been answered."""
         request = client.open_requests.pop(tag, None)
         if request is None:
             return
--- a/marbleglade/transport/client_listener.py
+++ b/marbleglade/transport/client_listener.py
@@ -24,19 +24,19 @@
 
 
 class ClientListener(Generic[RequestT]):
-    """Accepts connections, and starts the greenlets that read them.
+    """Accepts connections and starts a greenlet that reads each of them.
 
     Args:
         service: Handles the requests.
-        limits: Bounds of the connections.
-        is_ready: Returns whether clients are told that new requests are accepted.
+        limits: Limits on the connections and their buffers.
+        is_ready: Returns the readiness that is reported to clients: whether new requests are accepted.
         clock: The monotonic clock, ns.
-        guard: Records exceptions; has the log and the counters.
-        loop: The monitor of the event loop; without one, delays are not known.
+        guard: Records exceptions, and provides the log and the counters.
+        loop: The monitor of the event loop. Without one, delays of the loop are not known.
 
     Attributes:
-        connections: The connections that were accepted.
-        reader: Reads them.
+        connections: The accepted connections.
+        reader: Reads the accepted connections.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._counters = guard.counters
         self._log = guard.log
         self._request_classes = service.request_classes
-        self._backlog: ArrivalBound | None = None  # of connections that wait to be accepted
+        self._backlog: ArrivalBound | None = None  # for connections in the listen backlog
         self.connections = ClientRegistry(service, limits, clock, guard)
         writer = ResponseWriter(self.connections, self._loop, clock, guard.counters)
         end_detector = ClientEndDetector(service, clock, guard)
@@ -76,37 +76,38 @@
         """Accept connections forever."""
         backlog = self._backlog_arrivals()
         for count in itertools.count(1):
-            if not count % CALLS_PER_TURN:  # hundreds at once must not delay the clients that are served
+            if not count % CALLS_PER_TURN:  # a burst must not delay clients being served
                 gevent.sleep(0)
             ticks, called_at = self._loop.ticks, self._loop.last_tick
             backlog.start_waiting()
             try:
                 sock, _ = listener.accept()
             except OSError as error:
-                self._accept_failed(error)
+                self._record_accept_failure(error)
                 gevent.sleep(self._service.clock_resolution / SECOND_NS)
                 continue
-            if self._loop.ticks != ticks:  # it waited: none had come when it was called
+            if self._loop.ticks != ticks:  # the call blocked, so the backlog was empty
                 backlog.stop_waiting(called_at)
             self._guard.call("accept", self._start_connection, sock, backlog.earliest_arrival())
 
     def drain_backlog(self, listener: socket.socket) -> bool:
-        """Accept what waits in the backlog; true if there was something, or if bytes of clients lie unread.
+        """Accept the connections in the backlog, and return whether work was found.
 
-        Connections that the machine has accepted count as taken, and are served before the process ends.
+        Work is a connection in the backlog, or unread bytes on an open connection. Connections that the
+        kernel has already established are served before the process ends.
         """
         timeout = listener.gettimeout()
         listener.settimeout(0.0)
         try:
-            found = self._accept_waiting(listener)
+            found = self._accept_backlog(listener)
         finally:
             listener.settimeout(timeout)
         return found or any(
             not client.input_ended and has_unread_bytes(client.sock) for client in self.connections.open
         )
 
-    def _accept_waiting(self, listener: socket.socket) -> bool:
-        """Accept from a listener that does not block; true unless nothing waited there."""
+    def _accept_backlog(self, listener: socket.socket) -> bool:
+        """Accept from a non-blocking listener; return whether the backlog held any connection."""
         found = False
         failures = 0
         while failures <= CALLS_PER_TURN:
@@ -115,9 +116,9 @@
             except BlockingIOError:
                 break
             except OSError as error:
-                # Another connection may wait behind one that failed. If all calls fail, the next call of
-                # `drain_backlog` tries again, until the process has to end.
-                self._accept_failed(error)
+                # Another connection may wait behind a failed one. If all calls fail, the next call of
+                # `drain_backlog` tries again, until the shutdown deadline of the process.
+                self._record_accept_failure(error)
                 failures += 1
             else:
                 self._guard.call(
@@ -130,17 +131,17 @@
         self._backlog = self._backlog or ArrivalBound(self._loop, self._loop.last_tick)
         return self._backlog
 
-    def _accept_failed(self, error: OSError) -> None:
+    def _record_accept_failure(self, error: OSError) -> None:
         self._counters.add("client.accept_failed")
         if self._log.debug_on:
             self._log.debug("accept_failed", error=str(error))
 
     def _start_connection(self, sock: socket.socket, earliest_arrival: int) -> None:
-        """Start to read a connection that, with its bytes, arrived at `earliest_arrival` (ns) or later."""
+        """Start reading a connection; it and its bytes arrived at `earliest_arrival` (ns) or later."""
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        except OSError as error:  # responses take longer, and nothing is lost
-            self._accept_failed(error)
+        except OSError as error:  # without TCP_NODELAY responses are only slower
+            self._record_accept_failure(error)
         arrivals = ArrivalBound(self._loop, earliest_arrival)
         client: ClientConnection[RequestT] = ClientConnection(
             sock, self._clock, arrivals, self._request_classes
--- a/marbleglade/transport/client_registry.py
+++ b/marbleglade/transport/client_registry.py
@@ -1,4 +1,4 @@
-"""The connections of clients: their bound, idle time-outs, and how they are closed."""
+"""The registry of client connections: connection limit, idle timeouts, and closing."""
 
 from __future__ import annotations
 
@@ -22,30 +22,30 @@
 
 
 class CloseReason(StrEnum):
-    """Why a connection is closed; for the log."""
+    """The reason for which a connection is closed, as logged."""
 
     CLOSED_BY_CLIENT = "closed by its client, no response pending"
     RESET = "reset"
     WRITE_FAILED = "write failed"
-    SLOW_READER = "does not read its responses"
+    SLOW_READER = "client does not read its responses"
     INCOMPLETE_RESPONSE = "exception while a response was written"
     EXCEPTION = "exception"
     OVER_LIMIT = "over the limit of connections"
-    OVER_LIMIT_CLOSING = "over the limit of connections, closing already"
-    CLOSE_TIMEOUT = "did not close after its responses"
+    OVER_LIMIT_CLOSING = "over the limit of connections, already closing"
+    CLOSE_TIMEOUT = "client did not close after its responses"
     UNFINISHED = "unfinished"
     IDLE = "idle"
-    NO_BUFFER = "no room for partial messages"
+    NO_BUFFER = "over the limit of buffered bytes, partial message"
 
 
 class ClientLimits(NamedTuple):
-    """Bounds of the connections of clients.
+    """Limits on client connections.
 
     Attributes:
-        max_connections: The most connections, open and closing ones together.
-        max_buffered_bytes: The most bytes buffered for them: partial frames, bodies of requests, and
-            responses that wait for their reader.
-        response_slack: How much later than its deadline a response may be written, ns.
+        max_connections: The maximum number of connections, open and closing ones together.
+        max_buffered_bytes: The maximum number of bytes buffered for them: partial frames, request bodies, and
+            responses that their clients have not read yet.
+        response_slack: Time after its deadline at which a response may still be written, ns.
     """
 
     max_connections: int
@@ -57,15 +57,16 @@
     """The connections of all clients.
 
     Args:
-        service: Notified of requests whose client has left.
-        limits: Their bounds.
+        service: Notified of requests whose client has disconnected.
+        limits: The limits on the connections.
         clock: The monotonic clock, ns.
-        guard: Records exceptions; has the log and the counters.
+        guard: Records exceptions, and provides the log and the counters.
 
     Attributes:
-        buffers: The bytes that are buffered for clients.
-        open: Open connections, the oldest first.
-        closing: Connections whose own side was ended, and until when their clients may take to close, ns.
+        buffers: Accounts for the bytes that are buffered for clients.
+        open: The open connections, oldest first.
+        closing: The connections that this side has shut down for writing, each with the time until which its
+            client may take to close, ns.
     """
 
     def __init__(
@@ -87,33 +88,33 @@
 
     @property
     def has_pending_responses(self) -> bool:
-        """True while some connection has a response, or a part of one, to be written."""
+        """Whether any connection has a message to be handled or a response to be written."""
         return any(client.has_pending_responses for client in self.open)
 
     def add(self, client: ClientConnection[RequestT]) -> None:
-        """Add a new connection."""
+        """Add a new connection and count it."""
         self.open[client] = None
         self._counters.add("client.accepted")
 
     def enforce_limit(self, newest: ClientConnection[RequestT]) -> None:
-        """Close one connection if there are too many: the one that matters least, else `newest`."""
+        """If there are too many connections, close the least important idle one, or else `newest`."""
         if len(self.open) + len(self.closing) <= self._max_connections:
             return
         self._counters.add("client.over_share")
-        if self.closing:  # it was given its responses, and holds a descriptor until it closes
+        if self.closing:  # its responses are written, and it only holds a descriptor
             all_read = (client for client in self.closing if not has_unread_bytes(client.sock))
             self.close(next(all_read, next(iter(self.closing))), CloseReason.OVER_LIMIT_CLOSING)
             return
-        # A request may have arrived on a connection with unread bytes: it is not idle.
+        # A connection with unread bytes is not idle, since they may hold a request.
         by_importance = self._without_pending_responses_by_importance()
         idle = next((client for client in by_importance if not has_unread_bytes(client.sock)), newest)
         self.close(idle, CloseReason.OVER_LIMIT)
 
     def _without_pending_responses_by_importance(self) -> list[ClientConnection[RequestT]]:
-        """Return connections that may be closed, the least important first.
+        """Return the connections without pending responses, least important first.
 
-        First those that never sent a complete message, then those that never sent a request, then those idle
-        for longest, and last those that have only just connected and had no time to send.
+        The order is: connections that never sent a complete message, connections that never sent a request,
+        the others by idle time, longest first, and last the connections that are too new to have sent one.
         """
         recently = self._clock() - NEW_CLIENT_GRACE_NS
         return sorted(
@@ -127,23 +128,26 @@
         )
 
     def close_largest_partial_frame(self) -> bool:
-        """Close the connection with the largest partial frame; false if responses are pending on all."""
+        """Close the connection with the largest partial frame, and return whether one was closed.
+
+        Connections with pending responses are not closed.
+        """
         candidates = [
             client for client in self.open if client.partial_frame_bytes and not client.has_pending_responses
         ]
         if not candidates:
             return False
         self._counters.add("client.no_room")
-        # The rest of a request may lie unread, which is then read.
+        # Connections with unread bytes are spared if possible: the bytes may complete the request.
         all_read = [client for client in candidates if not has_unread_bytes(client.sock)] or candidates
         self.close(max(all_read, key=lambda client: client.partial_frame_bytes), CloseReason.NO_BUFFER)
         return True
 
     def sweep(self) -> None:
-        """Close connections that are idle, unfinished, or not closed by their clients, for too long."""
+        """Close connections whose time limit for idling, for a message or for a graceful close has passed."""
         now = self._clock()
         for client in [client for client, until in self.closing.items() if now > until]:
-            # Closing a socket with unread bytes resets the connection, and responses on their way are lost.
+            # Closing a socket with unread bytes resets the connection, which loses responses in transit.
             if now > self.closing[client] + UNFINISHED_TIMEOUT_NS or not has_unread_bytes(client.sock):
                 self.close(client, CloseReason.CLOSE_TIMEOUT)
         for client in [client for client in self.open if not client.has_pending_responses]:
@@ -153,14 +157,14 @@
         unfinished = client.unfinished_since and now - client.unfinished_since > UNFINISHED_TIMEOUT_NS
         if not unfinished and now - client.active_at <= IDLE_TIMEOUT_NS:
             return
-        if has_unread_bytes(client.sock):  # a request may have arrived
+        if has_unread_bytes(client.sock):  # they may hold a request
             return
         reason = CloseReason.UNFINISHED if unfinished else CloseReason.IDLE
         self._counters.add(f"client.{reason.value}")
         self.close(client, reason)
 
     def close_if_finished(self, client: ClientConnection[RequestT]) -> None:
-        """Close a connection on which nothing more comes, once no response is pending on it."""
+        """Close a connection whose input has ended, once no response is pending on it."""
         if not client.input_ended or client.has_pending_responses or client.closed:
             return
         if client.half_closed:
@@ -169,14 +173,14 @@
             self.close_gracefully(client)
 
     def close_all_gracefully(self) -> None:
-        """End our side of all connections, so that their clients can read what was written."""
+        """Shut down all connections for writing, so that clients can still read the written responses."""
         for client in list(self.open):
             self.close_gracefully(client)
 
     def close_gracefully(self, client: ClientConnection[RequestT]) -> None:
-        """End our side of a connection alone; it is read until its client has ended the other one.
+        """Shut down a connection for writing, and read it until its client closes the other direction.
 
-        Closing a socket with unread bytes would reset the connection, and the client would lose responses
+        Closing a socket with unread bytes would reset the connection, and the client would lose the responses
         that it has not read yet.
         """
         client.input_ended = True
@@ -191,7 +195,7 @@
     def close(
         self, client: ClientConnection[RequestT], reason: CloseReason, error: Exception | None = None
     ) -> None:
-        """Close a connection and cancel its open requests; nothing happens if it is closed already."""
+        """Close a connection and end its open requests; do nothing if it is already closed."""
         if client.closed:
             return
         client.closed = True
@@ -211,6 +215,6 @@
             self._guard.call("client_disconnected", self._service.client_disconnected, request)
 
     def drop_partial_frame(self, client: ClientConnection[RequestT]) -> None:
-        """Count the bytes of a connection's partial frame as buffered no longer."""
+        """Subtract the bytes of a connection's partial frame from the buffered bytes."""
         self.buffers.used -= client.partial_frame_bytes
         client.partial_frame_bytes = 0
--- a/marbleglade/transport/request_reader.py
+++ b/marbleglade/transport/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads the connections of clients: bytes to messages, with bounds on floods and on buffered bytes."""
+"""Reads client connections: decodes messages, and limits message floods and buffered bytes."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 from .response_writer import ResponseWriter
 from .sockets import CALLS_PER_TURN, READ_BUFFER, has_unread_bytes, read_chunks, receive_into
 
-READ_AHEAD_PERIOD_S = 0.01  # between looks at a client that does not take its responses
+READ_AHEAD_PERIOD_S = 0.01  # poll period for input of a client that is not reading its responses
 
 
 class RequestReader(Generic[RequestT]):
-    """Reads each connection in a greenlet of its own.
+    """Reads client connections, each in a greenlet of its own.
 
     Args:
-        connections: Closes connections; counts the bytes that are buffered for them.
+        connections: Closes connections, and accounts for the bytes that are buffered for them.
         dispatcher: Handles the messages.
-        writer: Writes the responses that the dispatcher gave at once.
-        end_detector: Applies the ends of clients.
-        service: Has the granularity of timers.
+        writer: Writes the immediate responses of the dispatcher.
+        end_detector: Detects and handles the departure of clients.
+        service: Provides the granularity of timers.
         clock: The monotonic clock, ns.
-        guard: Records exceptions; has the counters.
+        guard: Records exceptions, and provides the counters.
     """
 
     def __init__(
@@ -60,8 +60,8 @@
         try:
             for data in read_chunks(client.sock):
                 earliest_arrival = client.arrivals.record_read(len(data) < len(READ_BUFFER))
-                if not client.input_ended:  # else only its end counts any more
-                    self._process_or_end(client, data, earliest_arrival)
+                if not client.input_ended:  # otherwise only the end of the input matters
+                    self._process_input(client, data, earliest_arrival)
                 if client.closed:
                     return
                 client.arrivals.start_waiting()
@@ -71,18 +71,18 @@
             self._guard.record("client", error)
             self._connections.close(client, CloseReason.EXCEPTION, error)
         else:
-            # It has most likely left, but may still read: responses to attempts in flight are written, and
-            # no further attempt is sent.
+            # The client has most likely left, but may still read. Responses to attempts in flight are
+            # written, but no further attempt is sent.
             client.input_ended = client.half_closed = True
-            self._end_detector.half_closed(client)
+            self._end_detector.connection_half_closed(client)
             self._connections.close_if_finished(client)
 
-    def _process_or_end(
+    def _process_input(
         self, client: ClientConnection[RequestT], data: memoryview, earliest_arrival: int
     ) -> None:
-        """Process what was read; after an invalid frame only what came before it is answered."""
+        """Process bytes that were read; an invalid frame ends the input after the messages before it."""
         try:
-            self._process(client, data, earliest_arrival)
+            self._decode_and_dispatch(client, data, earliest_arrival)
         except InvalidFrameError:
             self._counters.add("client.bad_frame")
             client.input_ended = True
@@ -92,10 +92,12 @@
             self._writer.flush(client)
             self._connections.close_if_finished(client)
 
-    def _process(self, client: ClientConnection[RequestT], data: memoryview, earliest_arrival: int) -> None:
-        if len(data) == len(READ_BUFFER):  # more lies behind it, and its end may
+    def _decode_and_dispatch(
+        self, client: ClientConnection[RequestT], data: memoryview, earliest_arrival: int
+    ) -> None:
+        if len(data) == len(READ_BUFFER):  # more input may follow, including its end
             self._end_detector.check_connection(client)
-        self._decode(client, data, earliest_arrival)
+        self._queue_messages(client, data, earliest_arrival)
         self._dispatch_pending(client)
         if client.closed:
             return
@@ -105,8 +107,10 @@
         client.partial_frame_bytes = len(client.frames.buffer)
         self._enforce_buffer_limit(client)
 
-    def _decode(self, client: ClientConnection[RequestT], data: memoryview, earliest_arrival: int) -> None:
-        """Queue the messages that are complete."""
+    def _queue_messages(
+        self, client: ClientConnection[RequestT], data: memoryview, earliest_arrival: int
+    ) -> None:
+        """Decode bytes and queue the messages that they complete."""
         client.active_at = self._clock()
         frames = client.frames.feed(data)
         if frames:
@@ -117,7 +121,7 @@
         client.pending_messages += [ReceivedMessage(strings, earliest_arrival) for strings in frames]
 
     def _dispatch_pending(self, client: ClientConnection[RequestT]) -> None:
-        """Handle the queued messages; after `CALLS_PER_TURN` of them other greenlets run."""
+        """Handle the queued messages, yielding to other greenlets after every `CALLS_PER_TURN` of them."""
         messages = client.pending_messages
         for count in itertools.count(1):
             if not messages or client.closed:
@@ -125,7 +129,7 @@
             self._dispatcher.dispatch(client, messages.popleft())
             if len(client.immediate_responses) > len(READ_BUFFER):
                 self._writer.flush(client)
-                if client.flush_done:  # no further requests of a client that does not take its responses
+                if client.flush_done:  # the client is not reading, so no further requests are handled
                     self._read_ahead(client)
             if messages and not count % CALLS_PER_TURN:
                 self._writer.flush(client)
@@ -134,26 +138,26 @@
         self._writer.flush(client)
 
     def _read_ahead(self, client: ClientConnection[RequestT]) -> None:
-        """Wait until the client has taken its responses; meanwhile apply its cancels and its end.
+        """Wait until the pending responses are written; meanwhile handle cancels and the end of the input.
 
-        All other messages that come meanwhile are queued, as many as one read buffer holds.
+        Other messages that arrive meanwhile are queued, up to the size of one read buffer.
         """
-        left = len(READ_BUFFER)
+        free_bytes = len(READ_BUFFER)
         while client.flush_done and not client.closed:
             self._end_detector.check_connection(client)
-            if left and not client.frames.error and has_unread_bytes(client.sock):
-                size = receive_into(client.sock, READ_BUFFER[:left])
-                earliest_arrival = client.arrivals.record_read(size < left)
-                left -= size
+            if free_bytes and not client.frames.error and has_unread_bytes(client.sock):
+                size = receive_into(client.sock, READ_BUFFER[:free_bytes])
+                earliest_arrival = client.arrivals.record_read(size < free_bytes)
+                free_bytes -= size
                 try:
-                    self._decode(client, READ_BUFFER[:size], earliest_arrival)
-                except InvalidFrameError as error:  # messages before it are still answered
+                    self._queue_messages(client, READ_BUFFER[:size], earliest_arrival)
+                except InvalidFrameError as error:  # messages before the invalid frame are still answered
                     client.frames.error = error
             self._dispatch_cancels(client)
             client.flush_done.wait(READ_AHEAD_PERIOD_S)
 
     def _dispatch_cancels(self, client: ClientConnection[RequestT]) -> None:
-        """Handle the queued cancels of open requests ahead of the other messages."""
+        """Handle the queued cancels of open requests ahead of other queued messages."""
         cancels = [
             message
             for message in client.pending_messages
@@ -164,9 +168,9 @@
             self._dispatcher.dispatch(client, message)
 
     def _enforce_buffer_limit(self, client: ClientConnection[RequestT]) -> None:
-        """Wait, and read no more of this client, while partial frames exceed the limit.
+        """Stop reading this client while the buffered bytes exceed the limit.
 
-        Connections on which no response is pending are closed for it, the largest partial frame first.
+        To free bytes, connections without pending responses are closed, the largest partial frame first.
         """
         while self._buffers.used > self._buffers.limit and client.partial_frame_bytes and not client.closed:
             if not self._connections.close_largest_partial_frame():
--- a/marbleglade/transport/request_service.py
+++ b/marbleglade/transport/request_service.py
@@ -1,7 +1,7 @@
-"""What connections from clients need of the handler of their requests.
+"""The interface between client connections and the handler of their requests.
 
-A front's `RequestHandler` and a gateway's `RegionRouter` fulfil it. Both stand above this package, so that it
-knows them by this protocol alone.
+It is implemented by a front's `RequestHandler` and a gateway's `RegionRouter`. Both belong to higher layers,
+so this package depends on these protocols only.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 
 class AdmittedRequest(Protocol):
-    """A request as its handler knows it."""
+    """The handler's own representation of a request."""
 
     @property
     def deadline(self) -> int:
-        """Until when its client waits, ns of the monotonic clock."""
+        """The time until which the client waits, ns of the monotonic clock."""
 
 
 RequestT = TypeVar("RequestT", bound=AdmittedRequest)
 
 
 class RequestService(Protocol[RequestT]):
-    """Handles the requests of clients, whatever connection they came by."""
+    """Handles the requests of clients, independent of their connections."""
 
     @property
     def request_classes(self) -> Mapping[str, RequestClass]:
@@ -34,27 +34,30 @@
 
     @property
     def clock_resolution(self) -> int:
-        """Granularity of timers, ns."""
+        """The granularity of timers, ns."""
 
     def over_capacity(self) -> bool:
-        """Return whether no further request can be admitted for now, and count it."""
+        """Return whether a request has to be rejected for lack of capacity; if so, count the rejection."""
 
     def admit(self, client_request: ClientRequest, /) -> RequestT:
-        """Return a client's request as the handler knows it."""
+        """Return the handler's representation of a client's request."""
 
     def answer_immediately(self, client_request: ClientRequest, request: RequestT, /) -> Response | None:
-        """Submit an admitted request; return its response if it is decided at once, else call `run`."""
+        """Submit an admitted request and return its response if it is decided at once.
+
+        If it returns None, the caller has to call `run`.
+        """
 
     def run(
         self, client_request: ClientRequest, request: RequestT, respond: Callable[[Response], None], /
     ) -> None:
-        """Run a submitted request until it has ended; blocks. `respond` is called once at most."""
+        """Run a submitted request to its end, and call `respond` at most once; blocks."""
 
     def client_half_closed(self, request: RequestT, /) -> None:
-        """Send no further attempt for a request whose client sends no more, and has most likely left."""
+        """Stop further attempts for a request whose client closed its side, and so has most likely left."""
 
     def client_disconnected(self, request: RequestT, /) -> None:
-        """End a request whose client no longer waits for it."""
+        """End a request whose client has cancelled it or disconnected."""
 
     def abandon_request(self, request: RequestT, /) -> None:
-        """Forget a request that was answered as failed, since an error keeps it from being run."""
+        """Drop the state of a request that was answered as failed because of an exception."""
--- a/marbleglade/transport/response_encoder.py
+++ b/marbleglade/transport/response_encoder.py
@@ -20,17 +20,17 @@
 
 
 class ResponseEncoder:
-    """Encodes responses.
+    """Encodes responses and counts them.
 
     Args:
-        counters: Counts responses by status, and the bytes of their bodies.
+        counters: Counts the responses by status, and the bytes of their bodies.
     """
 
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
 
     def encode(self, tag: int, response: Response) -> bytes:
-        """Return the bytes of a response to a request."""
+        """Return the encoded response to the request with this tag."""
         fields = b""
         if response.outcome is RequestOutcome.REJECTED and response.retry_after:
             fields = b"pause=%d" % max(1, response.retry_after // MILLISECOND_NS)
@@ -40,6 +40,6 @@
         return self.encode_status(tag, STATUS_OF_OUTCOME[response.outcome], fields, response.body)
 
     def encode_status(self, tag: int, status: bytes, fields: bytes = b"", body: bytes = b"") -> bytes:
-        """Return the bytes of a response with this status."""
+        """Return an encoded response with this status, and count it."""
         self._counters.add(f"answer.{status.decode()}")
         return encode_response(tag, status, fields, body)
--- a/marbleglade/transport/response_writer.py
+++ b/marbleglade/transport/response_writer.py
@@ -1,4 +1,4 @@
-"""Writes responses to clients, and closes connections whose clients do not take them in time."""
+"""Writes responses to clients, and closes connections whose clients do not read them in time."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from .sockets import send_or_defer
 from .timed_write import acquire_within, send_within
 
-MIN_WRITE_TIMEOUT_NS = 250 * MILLISECOND_NS  # for the rest of a response whose deadline has almost passed
+MIN_WRITE_TIMEOUT_NS = 250 * MILLISECOND_NS  # if the deadline of a partly written response is near
 
 
 class ResponseWriter(Generic[RequestT]):
-    """Writes one response at a time to each client.
+    """Writes responses, one at a time on each connection.
 
     Args:
         connections: Closes connections.
         loop: The monitor of the event loop.
         clock: The monotonic clock, ns.
-        counters: Counts connections that ended while they were written to.
+        counters: Counts connections that are closed because a write failed or timed out.
     """
 
     def __init__(
@@ -45,10 +45,10 @@
         self._counters = counters
 
     def flush(self, client: ClientConnection[RequestT]) -> None:
-        """Write the immediate responses, without blocking the reader, which may read a cancel or the end.
+        """Write the immediate responses without blocking the reader, which has to read cancels and the end.
 
-        What the operating system does not take at once is written by a greenlet; until that has ended,
-        `client.flush_done` is an event that it will set.
+        If they can't all be written at once, a new greenlet writes the rest. Until it has ended,
+        `client.flush_done` is the event that it will set.
         """
         if not client.immediate_responses or client.flush_done or client.closed:
             return
@@ -58,7 +58,7 @@
                 sent = send_or_defer(client.sock, client.immediate_responses)
             except OSError:
                 client.write_lock.release()
-                self._write_failed(client)
+                self._close_after_write_error(client)
                 return
             del client.immediate_responses[:sent]
             if not client.immediate_responses:
@@ -71,9 +71,9 @@
     def _continue_flush(self, client: ClientConnection[RequestT], flush_done: Event, has_lock: bool) -> None:
         """Write the immediate responses, releasing the lock after each write.
 
-        Otherwise responses of upstreams would wait behind ever more immediate ones until their time is over.
+        Otherwise responses from upstreams would wait behind ever more immediate ones until they time out.
         """
-        limit = self._limit(UNFINISHED_TIMEOUT_NS)
+        limit = self._time_limit(UNFINISHED_TIMEOUT_NS)
         try:
             while client.immediate_responses and not client.closed:
                 if not has_lock and not self._acquire_lock(client, limit):
@@ -85,8 +85,8 @@
                 has_lock = False
                 if not complete:
                     return
-                gevent.sleep(0)  # greenlets that wait for the lock take it before this one does again
-                limit = self._limit(UNFINISHED_TIMEOUT_NS)
+                gevent.sleep(0)  # lets greenlets that wait for the lock acquire it first
+                limit = self._time_limit(UNFINISHED_TIMEOUT_NS)
         finally:
             if has_lock:
                 client.write_lock.release()
@@ -99,21 +99,22 @@
     ) -> bool:
         """Write a response.
 
-        A client that does not take it in time is closed, so that it learns that its response is lost. Waiting
-        for the lock is not its fault: a response that is late by then must not fail the others.
+        If the client does not read it in time, the connection is closed, which shows the client that the
+        response is lost. The time spent waiting for the lock does not count against the client, since a
+        response that is late by then must not fail the other ones.
 
         Args:
             client: The connection.
             data: The encoded response.
-            time_left: ns, may be negative.
-            is_wanted: Returns whether the client still waits for it; called with the lock held.
+            time_left: Time until the response is too late, ns; may be negative.
+            is_wanted: Returns whether the client still waits for the response; called with the lock held.
 
         Returns:
-            Whether all of it was written.
+            Whether the response was written completely.
         """
         write_until = self._clock() + time_left
         if not client.write_lock.acquire(blocking=False):
-            limit = self._limit(max(time_left, UNFINISHED_TIMEOUT_NS))
+            limit = self._time_limit(max(time_left, UNFINISHED_TIMEOUT_NS))
             if not self._acquire_lock(client, limit):
                 return False
         try:
@@ -121,12 +122,12 @@
                 return False
             sent = send_or_defer(client.sock, data)
             if sent < len(data):
-                limit = self._limit(max(write_until - self._clock(), MIN_WRITE_TIMEOUT_NS))
+                limit = self._time_limit(max(write_until - self._clock(), MIN_WRITE_TIMEOUT_NS))
                 return self._send_remaining(client, memoryview(data)[sent:], limit)
         except OSError:
-            self._write_failed(client)
+            self._close_after_write_error(client)
             return False
-        except Exception as error:  # a part may have been written: no other response can follow it
+        except Exception as error:  # nothing can follow a response that may be partial
             self._connections.close(client, CloseReason.INCOMPLETE_RESPONSE, error)
             raise
         finally:
@@ -134,39 +135,39 @@
         client.active_at = self._clock()
         return True
 
-    def _limit(self, duration: int) -> TimeLimit:
-        """Return a time limit for a client, `duration` ns from now."""
+    def _time_limit(self, duration: int) -> TimeLimit:
+        """Return a time limit that ends `duration` ns from now."""
         return TimeLimit(self._loop, self._clock() + duration)
 
     def _acquire_lock(self, client: ClientConnection[RequestT], limit: TimeLimit) -> bool:
-        """Wait for the lock; false if the connection was closed because the client does not read."""
+        """Wait for the write lock; return false if that took too long and the connection was closed."""
         if acquire_within(client.write_lock, limit):
             return True
-        self._slow_reader(client)
+        self._close_slow_reader(client)
         return False
 
     def _send_remaining(
         self, client: ClientConnection[RequestT], data: bytes | bytearray | memoryview, limit: TimeLimit
     ) -> bool:
-        """Wait until the client has taken these bytes; false if the connection was closed before."""
+        """Wait until these bytes are written; return false if the connection was closed before."""
         self._connections.buffers.used += len(data)
         try:
             complete = send_within(client.sock, data, limit)
         except OSError:
-            self._write_failed(client)
+            self._close_after_write_error(client)
             return False
         finally:
             self._connections.buffers.used -= len(data)
         if not complete:
-            self._slow_reader(client)
+            self._close_slow_reader(client)
             return False
         client.active_at = self._clock()
         return True
 
-    def _slow_reader(self, client: ClientConnection[RequestT]) -> None:
+    def _close_slow_reader(self, client: ClientConnection[RequestT]) -> None:
         self._counters.add("client.slow_reader")
         self._connections.close(client, CloseReason.SLOW_READER)
 
-    def _write_failed(self, client: ClientConnection[RequestT]) -> None:
+    def _close_after_write_error(self, client: ClientConnection[RequestT]) -> None:
         self._counters.add("client.write_failed")
         self._connections.close(client, CloseReason.WRITE_FAILED)
