--- a/tests/transport/departure_states.py
+++ b/tests/transport/departure_states.py
@@ -1,4 +1,4 @@
-"""States of a request in which its client leaves: how a test brings it there, and lets it continue."""
+"""States of a request in which its client leaves: how a test sets each state up and resolves it."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 from tests.harness.waiting import wait_until
 
 TAG, REQUEST_ID = 7, "9b1f03aa5c7e2d41"
-LARGE_BODY = b"x" * 200_000  # far more than the buffers between the front and a cache hold
+LARGE_BODY = b"x" * 200_000  # far more than the socket buffers between the front and a cache hold
 
 
 def respond(attempt: ArrivedAttempt, text: bytes) -> None:
-    """Sends a response on the connection of an attempt, which may have been closed."""
+    """Send a response on the connection of an attempt, which may have been closed."""
     with suppress(OSError):
         attempt.sock.sendall(attempt.request_id.encode() + text)
 
 
 @dataclass(frozen=True)
 class State:
-    """One state of a request, and how many attempts follow its release if the client stays."""
+    """One state of a request, and how many attempts follow its resolution if the client stays."""
 
     name: str
     arrange: Callable[[DepartureFront, socket.socket], None]
-    release: Callable[[DepartureFront], None]
+    resolve: Callable[[DepartureFront], None]
     attempts_after: int = 1
     policy: type[Policy] = Policy
 
@@ -44,12 +44,12 @@
 
 
 def is_write_blocked(front: DepartureFront) -> bool:
-    """Some client does not take the responses that are written to it."""
+    """Return whether a write to some client is blocked because the client does not read."""
     return any(connection.flush_done for connection in front.client_listener.connections.open)
 
 
 def block_writes(front: DepartureFront, sock: socket.socket, responses: int) -> None:
-    """The front writes more to this client than it reads."""
+    """Block the writes to this client with more responses than it reads."""
     front.cache_object()
     for number in range(responses):
         sock.sendall(front.request(50 + number, f"{number + 1:016x}", CACHED_OBJECT))
@@ -83,11 +83,11 @@
 
 
 def between_attempts(front: DepartureFront, sock: socket.socket) -> None:
-    """The first attempt was rejected; the second one waits for its connection."""
+    """The first attempt has failed; the second one waits for its connection."""
     send_request(front, sock)
     first = front.wait_for_attempts(REQUEST_ID, 1)
     front.network.close_gate()
-    # This connection ends, and the next attempt needs a new one.
+    # A partial response and a reset end this connection, so the next attempt needs a new one.
     first.sock.sendall(REQUEST_ID.encode() + b" NO")
     reset(first.sock)
     wait_until(lambda: front.network.waiting)
@@ -114,8 +114,8 @@
     wait_until(lambda: front.counters.counts["attempt.sent"])
 
 
-def cache_ends_half_written(front: DepartureFront) -> None:
-    """The cache resets connections on which it has read a part, and reads those that come later."""
+def caches_reset_half_written(front: DepartureFront) -> None:
+    """The caches reset the connections with partly read requests, and read later connections."""
     for cache in front.caches:
         for sock in cache.sockets:
             reset(sock)
@@ -130,7 +130,7 @@
 
 
 def response_waits_for_lock(front: DepartureFront, sock: socket.socket) -> None:
-    """The response of the cache is complete, behind a cached object that the client does not read."""
+    """The cache's response is complete, but waits for the write of a cached object that is not read."""
     in_flight(front, sock)
     block_writes(front, sock, 1)
     respond(front.attempts(REQUEST_ID)[0], with_entity_fields(b" HIT - 9\r\n" + b"x" * 9 + b"\r\n"))
@@ -144,8 +144,8 @@
     wait_until(lambda: is_write_blocked(front))
 
 
-def leave_as_it_is(front: DepartureFront) -> None:
-    """The client itself holds the request."""
+def do_nothing(front: DepartureFront) -> None:
+    """There is nothing to resolve, since the client itself holds up the request."""
 
 
 STATES = [
@@ -155,8 +155,8 @@
     State("between two attempts", between_attempts, connection_opens),
     State("in flight, then rejected", in_flight, attempt_rejected),
     State("in flight, then reset", in_flight, connection_reset),
-    State("half written, then reset", half_written, cache_ends_half_written),
+    State("half written, then reset", half_written, caches_reset_half_written),
     State("response half read, then reset", response_half_read, connection_reset),
-    State("the response waits for the write lock", response_waits_for_lock, leave_as_it_is, attempts_after=0),
-    State("a cached object is being written", cached_object_being_written, leave_as_it_is, attempts_after=0),
+    State("the response waits for the write lock", response_waits_for_lock, do_nothing, attempts_after=0),
+    State("a cached object is being written", cached_object_being_written, do_nothing, attempts_after=0),
 ]
--- a/tests/transport/departures.py
+++ b/tests/transport/departures.py
@@ -1,4 +1,4 @@
-"""The ways in which a client leaves: what happens before, and what it does."""
+"""The ways in which a client leaves: what happens before, and how it closes, resets or cancels."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from tests.harness.waiting import wait_until
 from tests.transport.departure_states import TAG, block_writes
 
-FLOOD = UNKNOWN_CANCEL * 1500  # 45 KB that the front reads message by message, and the machine takes at once
-HANDLED_BEFORE_HOLD = 100  # messages of a flood that are handled before the test holds the front
+FLOOD = UNKNOWN_CANCEL * 1500  # 45 KB, which fit the socket buffers; the front handles them one by one
+HANDLED_BEFORE_PAUSE = 100  # messages of a flood that are handled before the test pauses the front
 HALF_MESSAGE = b"*3\r\n$6\r\nSTATUS\r\n$1"
-FLOODING = 4  # other clients, each of which sends such a flood
-OTHERS, OPEN_EACH = 7, 30  # other clients, and the requests that each has open
+FLOODING_CLIENTS = 4  # number of other clients that send a flood
+OTHER_CLIENTS, OPEN_REQUESTS_EACH = 7, 30  # other clients, and the open requests of each
 
 
 def close(sock: socket.socket) -> None:
@@ -35,8 +35,8 @@
     sock.sendall(resp_array(b"NEVERMIND", b"%d" % TAG))
 
 
-def plainly(front: DepartureFront, sock: socket.socket) -> None:
-    """Nothing else happens as the client leaves."""
+def without_other_traffic(front: DepartureFront, sock: socket.socket) -> None:
+    """Nothing special happens before the client leaves."""
 
 
 def during_writes(front: DepartureFront, sock: socket.socket) -> None:
@@ -45,7 +45,7 @@
 
 
 def over_the_buffer_limit(front: DepartureFront, sock: socket.socket) -> None:
-    """The front reads no more of this client until fewer bytes are buffered."""
+    """The front stops reading this client, as the buffer limit is exceeded."""
     front.client_listener.connections.buffers.limit = 0
     sock.sendall(HALF_MESSAGE)
     wait_until(
@@ -56,12 +56,12 @@
 
 
 def behind_unread_bytes(front: DepartureFront, sock: socket.socket) -> None:
-    """The front is held amid these bytes, and the end of the connection lies behind them."""
+    """The front is paused while it handles a flood, behind which the end of the connection is unread."""
     dispatcher, handled = front.client_listener.reader._dispatcher, itertools.count(1)
     dispatch = dispatcher.dispatch
 
     def dispatch_some(client: ClientConnection, message: ReceivedMessage) -> None:
-        if next(handled) > HANDLED_BEFORE_HOLD:
+        if next(handled) > HANDLED_BEFORE_PAUSE:
             front.reading_on.wait()
         dispatch(client, message)
 
@@ -69,24 +69,24 @@
     assert send_now(sock, FLOOD) == len(FLOOD)
 
 
-def during_a_flood_of_others(front: DepartureFront, _sock: socket.socket) -> None:
-    """The front works through what others sent when the client leaves."""
-    others = [front.connect_client() for _ in range(FLOODING)]
+def during_floods_of_other_clients(front: DepartureFront, _sock: socket.socket) -> None:
+    """The front is busy with floods of other clients when the client leaves."""
+    others = [front.connect_client() for _ in range(FLOODING_CLIENTS)]
     for other in others:
         assert send_now(other, FLOOD) == len(FLOOD)
 
 
-def while_hundreds_wait(front: DepartureFront, _sock: socket.socket) -> None:
-    for client in range(OTHERS):
+def while_hundreds_of_requests_are_open(front: DepartureFront, _sock: socket.socket) -> None:
+    for client in range(OTHER_CLIENTS):
         other = front.connect_client()
-        for tag in range(1, OPEN_EACH + 1):
+        for tag in range(1, OPEN_REQUESTS_EACH + 1):
             other.sendall(front.request(tag, f"{client + 1:08x}{tag:08x}"))
-    wait_until(lambda: len(front.policy_driver.open_requests) >= OTHERS * OPEN_EACH // 2)
+    wait_until(lambda: len(front.policy_driver.open_requests) >= OTHER_CLIENTS * OPEN_REQUESTS_EACH // 2)
 
 
 @dataclass(frozen=True)
 class Departure:
-    """One way to leave: what happens before it, and what the client does."""
+    """One way to leave: what happens before, and what the client does."""
 
     before: Callable[[DepartureFront, socket.socket], None]
     leave: Callable[[socket.socket], None]
@@ -96,10 +96,10 @@
 
 
 DEPARTURES = [
-    *(Departure(plainly, leave) for leave in (close, half_close, reset, cancel)),
+    *(Departure(without_other_traffic, leave) for leave in (close, half_close, reset, cancel)),
     *(Departure(during_writes, leave) for leave in (close, half_close, reset, cancel)),
     *(Departure(behind_unread_bytes, leave) for leave in (close, half_close, reset)),
     *(Departure(over_the_buffer_limit, leave) for leave in (close, half_close, reset)),
-    *(Departure(during_a_flood_of_others, leave) for leave in (close, half_close, reset, cancel)),
-    *(Departure(while_hundreds_wait, leave) for leave in (close, half_close, reset, cancel)),
+    *(Departure(during_floods_of_other_clients, leave) for leave in (close, half_close, reset, cancel)),
+    *(Departure(while_hundreds_of_requests_are_open, leave) for leave in (close, half_close, reset, cancel)),
 ]
--- a/tests/transport/test_client_departure.py
+++ b/tests/transport/test_client_departure.py
@@ -1,9 +1,9 @@
 """No attempt begins for a client that has left: each way of leaving against each state of its request.
 
-A client that closes its connection or cancels has gone, and no attempt, first or further, may begin more
-than `GRACE_SECONDS` later. Each test brings a request into one state, which stand-ins hold; then the
-client leaves; after the grace the stand-ins let go, and the test counts the attempts that still begin at the
-caches. Each state is also tested with a client that stays, which shows that it leads to an attempt.
+After a client has closed its connection or cancelled, no attempt may begin more than `GRACE_SECONDS` later.
+Each test sets up one state of a request with stand-ins for the network and the caches, and lets the client
+leave. After the grace time it resolves the state, and counts the attempts that still begin at the caches.
+Each state is also tested with a client that stays, to show that the state leads to an attempt.
 """
 
 from __future__ import annotations
@@ -18,7 +18,14 @@
 from tests.harness.departure_front import GRACE_SECONDS, DepartureFront
 from tests.harness.waiting import wait_until
 from tests.transport.departure_states import REQUEST_ID, STATES, State, connection_opens, waits_for_connection
-from tests.transport.departures import DEPARTURES, cancel, close, during_writes, half_close, plainly
+from tests.transport.departures import (
+    DEPARTURES,
+    cancel,
+    close,
+    during_writes,
+    half_close,
+    without_other_traffic,
+)
 
 
 def connect_client_for(front: DepartureFront, state: State, before: Callable) -> socket.socket:
@@ -37,8 +44,8 @@
     departure.leave(sock)
     left_at = time.monotonic()
     front.pass_grace(left_at)
-    state.release(front)
-    if state.attempts_after:  # however busy the front is
+    state.resolve(front)
+    if state.attempts_after:  # waits even for a busy front
         wait_until(lambda: not front.is_open(REQUEST_ID) or len(front.attempts(REQUEST_ID)) > before)
     front.run_loop_turns()
     assert front.began_after(REQUEST_ID, left_at) == 0
@@ -48,13 +55,13 @@
 @pytest.mark.parametrize("order", ["client leaves first", "connection opens first"])
 @pytest.mark.parametrize("leave", [close, half_close, reset, cancel])
 def test_a_stalled_front_notices_a_departure_before_it_sends_an_attempt(start_front, leave, order):
-    """The client's end and the connection to the cache are both there once the process runs again."""
+    """When the process runs again, the client's end and the opened connection are both pending."""
     front = start_front()
     sock = front.connect_client()
     waits_for_connection(front, sock)
-    acts = [lambda: leave(sock), lambda: connection_opens(front)]
-    for act in acts if order == "client leaves first" else reversed(acts):
-        act()
+    steps = [lambda: leave(sock), lambda: connection_opens(front)]
+    for step in steps if order == "client leaves first" else reversed(steps):
+        step()
     left_at = time.monotonic()
     time.sleep(GRACE_SECONDS + 0.01)  # the whole process is stalled
     wait_until(lambda: not front.is_open(REQUEST_ID) or front.attempts(REQUEST_ID))
@@ -65,11 +72,11 @@
 @pytest.mark.parametrize("state", STATES, ids=str)
 def test_each_state_leads_to_an_attempt_for_a_client_that_stays(start_front, state):
     front = start_front(state.policy)
-    sock = connect_client_for(front, state, plainly)
+    sock = connect_client_for(front, state, without_other_traffic)
     state.arrange(front, sock)
     before, since = len(front.attempts(REQUEST_ID)), time.monotonic()
     front.pass_grace(since)
-    state.release(front)
+    state.resolve(front)
     if state.attempts_after:
         front.wait_for_attempts(REQUEST_ID, before + state.attempts_after)
     front.run_loop_turns()
--- a/tests/transport/test_client_registry.py
+++ b/tests/transport/test_client_registry.py
@@ -1,4 +1,4 @@
-"""The connections of clients: idle time-outs, their limit, and graceful close."""
+"""The registry of client connections: idle timeouts, the connection limit, and graceful close."""
 
 import gevent
 import pytest
@@ -53,7 +53,7 @@
     gevent.sleep(0.01)
     now = clock.now()
     front.client_clock = lambda: now + 6000 * NS_PER_MS
-    socks[0].sendall(front.request(7))  # not read before this test waits
+    socks[0].sendall(front.request(7))  # the front reads it only once this test yields
     if closed_by == "sweep":
         connections.sweep()
     else:
@@ -92,7 +92,7 @@
 
 
 def test_closing_connections_count_toward_the_limit_and_are_closed_first(front, connections):
-    """Each of them holds a descriptor: beside as many open ones as allowed they would exceed the limit."""
+    """Each closing connection holds a descriptor, so the limit has to include the closing ones."""
     for number in range(4):
         sock = front.connect_client()
         sock.sendall(b"garbage\r\n")
--- a/tests/transport/test_client_requests.py
+++ b/tests/transport/test_client_requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients, from the bytes of a message to the bytes of its response."""
+"""Client requests, from the bytes of a message to the bytes of its response."""
 
 import time
 from contextlib import suppress
@@ -19,7 +19,7 @@
 )
 from tests.harness.waiting import wait_until
 
-CACHED_TAG = ",cached=4be0c1927d55a6f3"  # the field of a client that has the object cached
+CACHED_ETAG_FIELD = ",cached=4be0c1927d55a6f3"  # sent by a client that has a cached copy of the object
 
 
 @pytest.mark.parametrize(
@@ -34,7 +34,7 @@
     ],
 )
 def test_a_request_is_forwarded_and_the_response_returned_complete(front, cache_response, response):
-    sock = front.send_request(REQUEST_ID + b" " + cache_response, more=CACHED_TAG)
+    sock = front.send_request(REQUEST_ID + b" " + cache_response, more=CACHED_ETAG_FIELD)
     assert sock.recv(4096) == resp_array(*response)
     assert front.cache.lines[0].startswith(
         f"do 9b1f03aa5c7e2d41 profile={front.class_name},thing=7f3a9c21e0b4d655,nth=3,max="
@@ -49,17 +49,17 @@
 
 
 @pytest.mark.parametrize(
-    ("cached_tag", "response"),
-    [("", (b"8", b"ok", b"", b"body")), (CACHED_TAG, (b"8", b"ok", b"keep=1", b""))],
+    ("cached_etag_field", "response"),
+    [("", (b"8", b"ok", b"", b"body")), (CACHED_ETAG_FIELD, (b"8", b"ok", b"keep=1", b""))],
 )
-def test_the_local_cache_serves_an_object_until_it_is_purged(front, cached_tag, response):
+def test_the_local_cache_serves_an_object_until_it_is_purged(front, cached_etag_field, response):
     front.prefer_local_cache()
     issued_ms = time.time() * 1000
     sock = front.send_request(
         REQUEST_ID + b" HIT entity=4be0c1927d55a6f3,issued=%d 4\r\nbody\r\n" % issued_ms
     )
     sock.recv(4096)
-    sock.sendall(front.request(8, numbered_id(8), more=cached_tag))
+    sock.sendall(front.request(8, numbered_id(8), more=cached_etag_field))
     assert sock.recv(4096) == resp_array(*response) and len(front.cache.lines) == 1
     front.request_handler.events.apply(Purge(2, DEFAULT_OBJECT, 0, int(time.time() * 1000) + 5000))
     sock.sendall(front.request(9, numbered_id(9)))
@@ -86,7 +86,7 @@
         (resp_array(b"ASK", b"5", b"unknown", b""), resp_array(b"5", b"fault", b"", b"")),
     ],
 )
-def test_a_message_that_cant_be_used_fails_under_its_tag(front, message, response):
+def test_an_unusable_message_is_answered_with_a_failure_for_its_tag(front, message, response):
     sock = front.connect_client()
     sock.sendall(message)
     assert sock.recv(4096) == response and front.cache.lines == []
@@ -157,7 +157,7 @@
     assert front.cache.lines == [] and not len(front.policy_driver.open_requests)
 
 
-def test_no_attempt_is_sent_for_a_client_that_half_closes_behind_its_request(front):
+def test_no_attempt_is_sent_for_a_client_that_half_closes_right_after_its_request(front):
     sock = front.connect_client()
     sock.sendall(front.request(7))
     sock.shutdown(socket.SHUT_WR)
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize("after_attempt", [False, True])
-def test_an_exception_in_the_policy_fails_its_request_alone(front, after_attempt):
+def test_an_exception_in_the_policy_fails_only_its_own_request(front, after_attempt):
     policy = front.policy_driver.policy
     handle_request, attempt_finished = policy.handle_request, policy.attempt_finished
 
--- a/tests/transport/test_request_reader.py
+++ b/tests/transport/test_request_reader.py
@@ -1,4 +1,4 @@
-"""Reading of clients: invalid frames, floods, and the bound on buffered bytes."""
+"""Reading of client connections: invalid frames, floods, and the limit on buffered bytes."""
 
 from contextlib import suppress
 
@@ -7,11 +7,11 @@
 from tests.harness.messages import REQUEST_ID, numbered_id, resp_array, with_entity_fields
 from tests.harness.waiting import wait_until
 
-# A request that announces a body of 200,000 bytes, and the first bytes of it.
-HEAD_OF_LARGE_REQUEST = b"*5\r\n$3\r\nASK\r\n$1\r\n%d\r\n$4\r\npage\r\n$1\r\nx\r\n$200000\r\n"
+# The beginning of a request that announces a body of 200,000 bytes, up to that body.
+LARGE_REQUEST_HEADER = b"*5\r\n$3\r\nASK\r\n$1\r\n%d\r\n$4\r\npage\r\n$1\r\nx\r\n$200000\r\n"
 
 
-def test_an_invalid_frame_ends_its_connection_alone(front):
+def test_an_invalid_frame_ends_only_its_own_connection(front):
     invalid, valid = front.connect_client(), front.connect_client()
     invalid.sendall(b"GET / HTTP/1.1\r\n\r\n")
     assert invalid.recv(10) == b""
@@ -34,7 +34,7 @@
     sock = front.connect_client()
     sock.sendall(front.request(7) + invalid_frame)
     front.cache.wait_for_lines(1)
-    sock.sendall(front.request(8, numbered_id(8)))  # behind the invalid frame nothing is processed
+    sock.sendall(front.request(8, numbered_id(8)))  # nothing after the invalid frame is processed
     front.cache.sockets[0].sendall(with_entity_fields(REQUEST_ID + b" HIT - 1\r\nx\r\n"))
     assert sock.recv(4096) == resp_array(b"7", b"ok", b"", b"x") and sock.recv(10) == b""
     sock.close()
@@ -74,7 +74,7 @@
 def test_a_partial_frame_over_the_buffer_limit_ends_its_connection(front, connections):
     sock = front.connect_client()
     with suppress(OSError):
-        sock.sendall(HEAD_OF_LARGE_REQUEST % 1 + b"x" * 150_000)
+        sock.sendall(LARGE_REQUEST_HEADER % 1 + b"x" * 150_000)
         sock.recv(4096)
     wait_until(lambda: front.counters.counts["client.no_room"])
     assert connections.open == {}
@@ -91,7 +91,7 @@
 def test_for_partial_frames_over_the_limit_a_connection_without_pending_responses_is_closed(
     front, connections
 ):
-    partial_request = HEAD_OF_LARGE_REQUEST % 9 + b"x" * 60_000
+    partial_request = LARGE_REQUEST_HEADER % 9 + b"x" * 60_000
     idle, busy = front.connect_client(), front.connect_client()
     idle.sendall(partial_request)
     wait_until(lambda: connections.buffers.used > 50_000)
--- a/tests/transport/test_response_writer.py
+++ b/tests/transport/test_response_writer.py
@@ -1,4 +1,4 @@
-"""Writing to clients that read slowly: one at a time, within a time limit and the bound on buffered bytes."""
+"""Writing to slow clients: one response at a time, within the time limit and the buffer limit."""
 
 import gevent
 from gevent import socket
@@ -7,12 +7,12 @@
 from tests.harness.messages import REQUEST_ID, numbered_id, resp_array, with_entity_fields
 from tests.harness.waiting import wait_until
 
-CACHED_SIZE = 60_000  # bytes of an object that the front has cached: more than a slow client's sockets hold
+CACHED_SIZE = 60_000  # size of the front's cached object, bytes; exceeds a slow client's socket buffers
 CACHED_RESPONSE = resp_array(b"7", b"ok", b"", b"x" * CACHED_SIZE)
 
 
 def request_for_another_object(front, tag, timeout_ms=1000):
-    """A request for an object that the front has not cached."""
+    """Return a request for an object that is not in the front's local cache."""
     request = front.request(tag, numbered_id(tag), timeout_ms=timeout_ms)
     return request.replace(b"entity=7f", b"entity=00")
 
@@ -49,7 +49,7 @@
 
 
 def test_a_response_that_is_late_since_it_waited_for_the_lock_ends_no_connection(front):
-    """Immediate responses hold the lock; a late response behind them must not close all requests."""
+    """Immediate responses hold the lock; a late response behind them must not close the connection."""
     front.serve_from_local_cache(CACHED_SIZE)
     sock, client = front.connect_slow_client()
     sock.sendall(front.request(7))
@@ -57,9 +57,9 @@
     sock.sendall(request_for_another_object(front, 8, timeout_ms=20))
     front.cache.wait_for_lines(1)
     front.cache.sockets[0].sendall(with_entity_fields(numbered_id(8).encode() + b" HIT - 1\r\ny\r\n"))
-    gevent.sleep(0.15)  # past the deadline and the slack, and the client has not read yet
+    gevent.sleep(0.15)  # until after the deadline and its slack; the client has not read yet
     assert not client.closed and front.counters.counts["client.slow_reader"] == 0
-    for tag in (9, 10):  # further immediate responses are written behind the one that waits
+    for tag in (9, 10):  # further immediate responses are written after the waiting one
         sock.sendall(front.request(tag, numbered_id(tag)))
     wait_until(lambda: client.immediate_responses)
     responses = [
