--- a/marbleglade/protocols/cache_server_protocol.py
+++ b/marbleglade/protocols/cache_server_protocol.py
@@ -108,7 +108,7 @@
         if command in ("ping", "top") and len(columns) == 2:
             return HealthCheck(id, command == "top")
         if command != "do" or len(columns) != 4 or not NUMBER.fullmatch(columns[3]):
-            raise InvalidLineError("the line is no 'do ID FIELDS SIZE', 'undo ID', 'ping ID' or 'top ID'")
+            raise InvalidLineError("the line is not 'do ID FIELDS SIZE', 'undo ID', 'ping ID' or 'top ID'")
         pairs = [] if columns[2] == "-" else [pair.split("=", 1) for pair in columns[2].split(",")]
         if any(len(pair) != 2 for pair in pairs):
             raise InvalidLineError("a field of the request has no value")
--- a/marbleglade/protocols/fleet_datagrams.py
+++ b/marbleglade/protocols/fleet_datagrams.py
@@ -1,7 +1,8 @@
 """Codec of the fleet agents' datagrams, without I/O: membership gossip, load reports and aggregated views.
 
-`update_datagrams` defines the header. Fronts without a fleet agent ignore the kinds of this module. Numbers
-are capped to the width of their fields, lists have a maximum length, and invalid datagrams are ignored.
+`update_datagrams` defines the header. Fronts without a fleet agent ignore the kinds of this module. Sums
+and loads are capped to the width of their fields, lists have a maximum length, and invalid datagrams are
+ignored.
 """
 
 from __future__ import annotations
