--- a/benchmarks/capacity/hosted_front.py
+++ b/benchmarks/capacity/hosted_front.py
@@ -13,7 +13,7 @@
 from marbleglade.policy.policy import Policy
 from marbleglade.policy_driver import PolicyDriver
 from marbleglade.protocols.client_protocol import ClientRequest
-from marbleglade.request_handler import HandlerParts, RequestHandler
+from marbleglade.request_handler import HandlerComponents, RequestHandler
 from marbleglade.runtime import clock
 from marbleglade.runtime.counters import Counters
 from marbleglade.runtime.error_guard import ErrorGuard
@@ -81,7 +81,7 @@
             lambda _request, _since: False,
         )
         self.local_cache = LocalCache(COPIES_BYTES)
-        parts = HandlerParts(
+        parts = HandlerComponents(
             self.driver, connections, upstreams, purges, self.local_cache, FLOW_BYTES_PER_S, guard
         )
         self.front = RequestHandler(parts)
--- a/benchmarks/purge_cost.py
+++ b/benchmarks/purge_cost.py
@@ -20,7 +20,7 @@
 from marbleglade.model.watch_event import Purge
 from marbleglade.policy.policy import Policy
 from marbleglade.policy_driver import PolicyDriver
-from marbleglade.request_handler import HandlerParts, RequestHandler
+from marbleglade.request_handler import HandlerComponents, RequestHandler
 from marbleglade.runtime import clock
 from marbleglade.runtime.counters import Counters
 from marbleglade.runtime.error_guard import ErrorGuard
@@ -59,7 +59,7 @@
         )
         self.local_cache = LocalCache(max(cached_objects, 1))
         self.handler = RequestHandler(
-            HandlerParts(
+            HandlerComponents(
                 driver=self.driver,
                 upstream_client=NoUpstreams(),
                 upstreams=UpstreamRegistry(read_environment(front_settings(1), 1, 1.0), clock.from_unix_ms),
--- a/benchmarks/scale/lightweight_front.py
+++ b/benchmarks/scale/lightweight_front.py
@@ -22,7 +22,7 @@
 from marbleglade.model.watch_event import EndpointListChange, Purge
 from marbleglade.policy.policy import Policy
 from marbleglade.policy_driver import PolicyDriver
-from marbleglade.request_handler import HandlerParts, RequestHandler
+from marbleglade.request_handler import HandlerComponents, RequestHandler
 from marbleglade.runtime import clock
 from marbleglade.runtime.addresses import parse_address
 from marbleglade.runtime.counters import Counters
@@ -49,7 +49,7 @@
         applied: The purges recorded since the last `drain`.
     """
 
-    def __init__(self, name: str, start_ms: int, parts: HandlerParts) -> None:
+    def __init__(self, name: str, start_ms: int, parts: HandlerComponents) -> None:
         super().__init__(
             parts.driver,
             parts.upstream_client,
@@ -127,7 +127,7 @@
             lambda _action: None,
         )
         self.peers = FixedPeers([parse_address(peer) for peer in peers_before(name)]) if "-" in name else None
-        parts = HandlerParts(
+        parts = HandlerComponents(
             self.driver,
             NoUpstreams(),
             self.upstreams,
--- a/marbleglade/__main__.py
+++ b/marbleglade/__main__.py
@@ -18,7 +18,7 @@
     from .service import front_process, startup_configuration
 
     try:
-        front_process.run(startup_configuration.read_startup(os.environ))
+        front_process.run(startup_configuration.read_startup_configuration(os.environ))
     except InvalidConfigurationError as error:
         print(f"marbleglade: {error}", file=sys.stderr)
         return EXIT_INVALID
--- a/marbleglade/control/front_client/connection.py
+++ b/marbleglade/control/front_client/connection.py
@@ -174,7 +174,7 @@
     def apply_pending_events(self) -> None:
         """Handle lines that have reached this machine and may have been unread for long."""
         following = self._sock and self.last_line_at
-        if not following or not self._arrivals.may_have_waited(clock.now(), MAX_UNREAD_NS):
+        if not following or not self._arrivals.may_be_unread_longer_than(clock.now(), MAX_UNREAD_NS):
             return
         try:
             for _ in range(MAX_PENDING_READS):
--- a/marbleglade/discovery_events.py
+++ b/marbleglade/discovery_events.py
@@ -88,7 +88,7 @@
             elif not event.complete:
                 self._callbacks.publish(UpstreamLeaving(event.index, endpoint.id, endpoint.started_ms))
 
-    def apply_gossip(self, update: PeerUpdate) -> None:
+    def apply_peer_update(self, update: PeerUpdate) -> None:
         """Apply an update from another front, in case the discovery service can't reach this one."""
         if isinstance(update, Purge):
             self._purge(update)
--- a/marbleglade/fleet/agent_adapter.py
+++ b/marbleglade/fleet/agent_adapter.py
@@ -88,7 +88,7 @@
         self.send_report = send_report
         self.agent.use_control_nodes(number)
 
-    def take_view(self, data: bytes) -> None:
+    def handle_load_view(self, data: bytes) -> None:
         """Apply an encoded load view from a control node; anything else is ignored."""
         view = fleet_datagrams.decode(data)
         if isinstance(view, AggregatedView):
--- a/marbleglade/gateway/gateway_process.py
+++ b/marbleglade/gateway/gateway_process.py
@@ -15,7 +15,7 @@
 from ..request_handler import RequestHandler
 from ..runtime import clock
 from ..runtime.process_signals import process_signals
-from ..runtime.timeouts import read_arrived
+from ..runtime.timeouts import read_arrived_data
 from ..runtime.units import SECOND_NS
 from ..textproto import parse_address
 from ..transport.arrival import arrival_time
@@ -89,7 +89,7 @@
             wakeup_at = next_timer if isinstance(next_timer, int) and next_timer else clock.now() + resolution
             gevent.sleep(max(0, wakeup_at - clock.now()) / SECOND_NS)
             if clock.now() - wakeup_at > resolution:
-                read_arrived()  # before the timers that are due now
+                read_arrived_data()  # before the timers that are due now
 
     def _run_periodic_work(self) -> None:
         """Send heartbeats and run the periodic checks."""
@@ -131,8 +131,8 @@
         components = self.components
         shutdown = components.shutdown
         clients = components.client_listener.connections
-        while not shutdown.may_exit(clock.now(), len(components.router) or clients.has_pending_responses):
-            if shutdown.must_give_up(clock.now(), components.loop_monitor.recent_delay()):
+        while not shutdown.may_exit(clock.now(), len(components.router) or clients.has_pending_work):
+            if shutdown.must_end_requests(clock.now(), components.loop_monitor.recent_delay()):
                 self._give_up_all()
             gevent.sleep(components.heartbeat_interval_ns / SHUTDOWN_CHECKS_PER_HEARTBEAT / SECOND_NS)
         components.responder.close_gracefully()
--- a/marbleglade/gateway/region_wiring.py
+++ b/marbleglade/gateway/region_wiring.py
@@ -9,7 +9,7 @@
 from ..deployment.reader import LocalDeployment
 from ..policy.policy import Policy
 from ..policy_driver import PolicyDriver
-from ..request_handler import HandlerParts, RequestHandler
+from ..request_handler import HandlerComponents, RequestHandler
 from ..runtime import clock
 from ..settings.environment import Environment
 from ..state.local_cache import LocalCache
@@ -109,7 +109,7 @@
         purge_history: PurgeHistory,
         cache_bytes: int = 0,
         bytes_per_second: int = 0,
-    ) -> HandlerParts:
+    ) -> HandlerComponents:
         guard = self._shared.guard
         driver = PolicyDriver(
             environment.parameters,
@@ -121,7 +121,7 @@
             self._shared.loop_monitor.mean_delay,
         )
         local_cache = LocalCache(cache_bytes)
-        return HandlerParts(
+        return HandlerComponents(
             driver, upstream_client, upstreams, purge_history, local_cache, bytes_per_second, guard
         )
 
--- a/marbleglade/gateway/remote_region.py
+++ b/marbleglade/gateway/remote_region.py
@@ -4,7 +4,7 @@
 
 from ..model.request import Request
 from ..protocols.client_protocol import ClientRequest
-from ..request_handler import HandlerParts, RequestHandler
+from ..request_handler import HandlerComponents, RequestHandler
 from ..runtime import clock
 from .purge_log import PurgeReceiver
 
@@ -20,7 +20,7 @@
         max_silence_ns: For how long the local cache is used after the last message of the region.
     """
 
-    def __init__(self, parts: HandlerParts, purge_receiver: PurgeReceiver, max_silence_ns: int) -> None:
+    def __init__(self, parts: HandlerComponents, purge_receiver: PurgeReceiver, max_silence_ns: int) -> None:
         super().__init__(parts)
         self._purge_receiver = purge_receiver
         self._max_silence_ns = max_silence_ns
--- a/marbleglade/policy/failure_attribution.py
+++ b/marbleglade/policy/failure_attribution.py
@@ -69,7 +69,7 @@
         """
         request = attempt.request
         has_effect = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
-        if self._parameters.can_cancel and self._retry_budget.affords(RETRY_PRICE) and not has_effect:
+        if self._parameters.can_cancel and self._retry_budget.has_tokens(RETRY_PRICE) and not has_effect:
             request.context.avoided.append(suspect)
             self._host.cancel_attempt(attempt)
 
--- a/marbleglade/policy/origin_overload.py
+++ b/marbleglade/policy/origin_overload.py
@@ -24,7 +24,7 @@
         self._links = links
         self._mean_priority = 0.0  # priority weight per transfer time of new objects
 
-    def record_and_refuse(self, request: Request, now: int) -> bool:
+    def record_and_check_refusal(self, request: Request, now: int) -> bool:
         """Record the priority of a request for a new object and return whether to refuse the fetch.
 
         Requests with the lowest priority per transfer time are refused first, and equally at all fronts.
--- a/marbleglade/policy/retry_budget.py
+++ b/marbleglade/policy/retry_budget.py
@@ -39,11 +39,11 @@
         burst = max(RETRY_BUDGET_BURST * burst_factor, MIN_BURST)
         self.tokens = min(burst, self.tokens + RETRY_BUDGET_RATIO * ratio_factor)
 
-    def affords(self, price: float) -> bool:
+    def has_tokens(self, price: float) -> bool:
         """Return whether `price` tokens are available; none are reserved."""
         return self.tokens >= price
 
     def withdraw(self, price: float) -> None:
-        """Withdraw tokens for a retry without a check; call it only after `affords` returned True."""
+        """Withdraw tokens for a retry without a check; call it only after `has_tokens` returned True."""
         self.tokens -= price
         self.spent += price
--- a/marbleglade/policy/stages/retry.py
+++ b/marbleglade/policy/stages/retry.py
@@ -76,7 +76,7 @@
             return NoRetryReason.NOT_STARTED
         if len(request.attempts) >= self._parameters.max_attempts:
             return NoRetryReason.ATTEMPT_LIMIT
-        if not self._retry_budget.affords(price):
+        if not self._retry_budget.has_tokens(price):
             return NoRetryReason.BUDGET_EMPTY
         if request.client_half_closed:  # the client has most likely left
             return NoRetryReason.CLIENT_HALF_CLOSED
--- a/marbleglade/policy/stages/routing.py
+++ b/marbleglade/policy/stages/routing.py
@@ -79,7 +79,7 @@
         idempotent = request.request_class.idempotency is Idempotency.IDEMPOTENT
         if not idempotent or (
             response_time <= time_left
-            and not (context.is_new_object and self._origin_overload.record_and_refuse(request, now))
+            and not (context.is_new_object and self._origin_overload.record_and_check_refusal(request, now))
         ):
             self._fill_source.send(request, cache)
         else:
--- a/marbleglade/protocols/discovery_protocol.py
+++ b/marbleglade/protocols/discovery_protocol.py
@@ -127,7 +127,7 @@
     return endpoint
 
 
-def encode_follow(last: int) -> bytes:
+def encode_subscription(last: int) -> bytes:
     """Return the line that subscribes to all events with an index greater than `last`."""
     return b"follow %d\n" % last
 
--- a/marbleglade/request_handler.py
+++ b/marbleglade/request_handler.py
@@ -45,7 +45,7 @@
     object_missing: bool = False
 
 
-class HandlerParts(NamedTuple):
+class HandlerComponents(NamedTuple):
     """The components of a request handler.
 
     Attributes:
@@ -83,7 +83,7 @@
 
     def __init__(
         self,
-        parts: HandlerParts,
+        parts: HandlerComponents,
         rejects_all: Callable[[], bool] = lambda: False,
         callbacks: DiscoveryCallbacks | None = None,
     ) -> None:
--- a/marbleglade/request_log.py
+++ b/marbleglade/request_log.py
@@ -29,7 +29,7 @@
     def admitted(self, client_request: ClientRequest, received_at: int) -> None:
         """Record a new request that was received at `received_at` (ns)."""
         self._counters.add("request.received")
-        if self._log.debug_on:
+        if self._log.debug_enabled:
             self._log.debug(
                 "admitted",
                 trace=client_request.trace_id,
@@ -45,7 +45,7 @@
     def finished(self, client_request: ClientRequest, request: Request, response: Response) -> None:
         """Record how a request ended."""
         self._counters.add(OUTCOME_COUNTERS[response.outcome])
-        if self._log.debug_on:
+        if self._log.debug_enabled:
             self._log.debug(
                 "finished",
                 trace=client_request.trace_id,
@@ -61,7 +61,7 @@
         """Record how an attempt ended."""
         attempt = order.attempt
         self._counters.add(f"attempt.{upstream_result.result.name.lower()}")
-        if self._log.debug_on:
+        if self._log.debug_enabled:
             self._log.debug(
                 "attempt_finished",
                 trace=client_request.trace_id,
--- a/marbleglade/runtime/json_log.py
+++ b/marbleglade/runtime/json_log.py
@@ -30,7 +30,7 @@
     def __init__(self, name: str, counters: Counters, debug: bool = False, sink: int | None = None) -> None:
         self.name = name
         self.counters = counters
-        self.debug_on = debug
+        self.debug_enabled = debug
         self.sink = sys.stderr.fileno() if sink is None else sink
         self.unwritten = bytearray()  # the rest of a partly written line
 
@@ -45,7 +45,7 @@
 
     def debug(self, event: str, **fields: object) -> None:
         """Write an event if debug events are on."""
-        if self.debug_on:
+        if self.debug_enabled:
             self.info(event, **fields)
 
     def write(self, line: bytes) -> None:
--- a/marbleglade/runtime/shutdown.py
+++ b/marbleglade/runtime/shutdown.py
@@ -46,7 +46,7 @@
         self.signal_arrived_at = self.signal_arrived_at or arrived_at or now
         self.requested_at = self.requested_at or now
 
-    def must_give_up(self, now: int, recent_delay: int = 0) -> bool:
+    def must_end_requests(self, now: int, recent_delay: int = 0) -> bool:
         """Return whether open requests must be ended now, so that responses are written before the kill.
 
         Args:
--- a/marbleglade/runtime/timeouts.py
+++ b/marbleglade/runtime/timeouts.py
@@ -27,7 +27,7 @@
         """Block until the object is set, for at most `timeout` seconds."""
 
 
-def read_arrived() -> None:
+def read_arrived_data() -> None:
     """Let all arrived data be read, and the greenlets that it wakes run, before the caller resumes.
 
     The first sleep ends in an iteration that polls, before the readers of that iteration run. The second
@@ -41,7 +41,7 @@
     """Wait at most `seconds`, read data that arrived by then, and return whether `awaited` is set."""
     awaited.wait(max(0.0, seconds))
     if not awaited.ready():
-        read_arrived()
+        read_arrived_data()
     return awaited.ready()
 
 
@@ -67,7 +67,7 @@
 
     def expired(self) -> bool:
         """Return whether the limit has expired, after letting arrived data be read. Switches greenlets."""
-        read_arrived()
+        read_arrived_data()
         now = self._loop.now()
         total_delay = self._loop.total_delay_until(now)
         self._deadline += total_delay - self._total_delay
--- a/marbleglade/service/control_wiring.py
+++ b/marbleglade/service/control_wiring.py
@@ -53,7 +53,7 @@
         for member in change.endpoints:
             upstream = self._handler.upstreams.by_id.get(member.id)
             if upstream and upstream.started_ms <= member.started_ms:
-                self._handler.events.apply_gossip(
+                self._handler.events.apply_peer_update(
                     UpstreamLeaving(change.index, member.id, upstream.started_ms)
                 )
 
--- a/marbleglade/service/front_process.py
+++ b/marbleglade/service/front_process.py
@@ -14,7 +14,7 @@
 from ..runtime.errors import InvalidConfigurationError
 from ..runtime.loop_monitor import TICK_PERIOD_NS
 from ..runtime.process_signals import process_signals
-from ..runtime.timeouts import TimeLimit, read_arrived
+from ..runtime.timeouts import TimeLimit, read_arrived_data
 from ..runtime.units import MILLISECOND_NS, SECOND_NS
 from ..transport.arrival import arrival_time
 from ..transport.client_timeouts import GRACEFUL_CLOSE_TIMEOUT_NS
@@ -173,7 +173,7 @@
             gevent.sleep(max(0, wake_at - clock.now()) / SECOND_NS)
             if clock.now() - wake_at > resolution:
                 self.guard.counters.add("timer.late")
-                read_arrived()  # so that data that arrived in time is read before the due timers run
+                read_arrived_data()  # so that data that arrived in time is read before the due timers run
 
     def _run_timers(self) -> int:
         """Run the policy's due timers; return when the next is due, ns; 0 if there is none or one failed."""
@@ -182,14 +182,14 @@
 
     def _may_exit(self) -> bool:
         """Return whether no response is pending and nothing is unread; accepts clients from the backlog."""
-        pending = len(self.driver.open_requests) or self.client_listener.connections.has_pending_responses
+        pending = len(self.driver.open_requests) or self.client_listener.connections.has_pending_work
         if not self.shutdown.may_exit(clock.now(), pending):
             return False
         return self._must_give_up() or not self.client_listener.drain_backlog(self.listener)
 
     def _must_give_up(self) -> bool:
         """Return whether open requests must be ended now, so that responses are written before the kill."""
-        return self.shutdown.must_give_up(clock.now(), self.loop.recent_delay())
+        return self.shutdown.must_end_requests(clock.now(), self.loop.recent_delay())
 
     def _sweep(self) -> None:
         """Run the periodic checks, four times a second."""
--- a/marbleglade/service/request_path_wiring.py
+++ b/marbleglade/service/request_path_wiring.py
@@ -6,7 +6,7 @@
 from ..model.request import Request
 from ..policy.policy import Policy
 from ..policy_driver import PolicyDriver
-from ..request_handler import HandlerParts, RequestHandler
+from ..request_handler import HandlerComponents, RequestHandler
 from ..runtime import clock
 from ..state.body_budget import BodyBudget
 from ..state.local_cache import LocalCache
@@ -45,7 +45,7 @@
     upstreams = UpstreamRegistry(configuration.environment, clock.from_unix_ms)
     purge_history = PurgeHistory(purge_retention(parameters))
     upstream_client = _build_upstream_client(configuration, process, upstreams, purge_history, late)
-    parts = HandlerParts(
+    parts = HandlerComponents(
         driver,
         upstream_client,
         upstreams,
--- a/marbleglade/service/startup_configuration.py
+++ b/marbleglade/service/startup_configuration.py
@@ -150,7 +150,7 @@
     )
 
 
-def read_startup(environ: Mapping[str, str]) -> StartupConfiguration:
+def read_startup_configuration(environ: Mapping[str, str]) -> StartupConfiguration:
     """Read the configuration at startup.
 
     Raises:
--- a/marbleglade/service/wiring.py
+++ b/marbleglade/service/wiring.py
@@ -138,7 +138,7 @@
         configuration.peers,
         parameters.seed,
         AntiEntropy(int(HEARTBEAT_INTERVAL_S * SECOND_NS), retention, clock.now()),
-        events.apply_gossip,
+        events.apply_peer_update,
         late.last_source_line_at,
         process.guard,
         configuration.peers_all,
@@ -209,7 +209,7 @@
         guard=process.guard,
         loop=process.loop,
     )
-    client = make_client(settings, front, reporting_fleet.take_view if reporting_fleet else None)
+    client = make_client(settings, front, reporting_fleet.handle_load_view if reporting_fleet else None)
     if reporting_fleet:
         reporting_fleet.use_control_nodes(settings.front_numbers()[configuration.name], client.report)
     return client
--- a/marbleglade/transport/arrival.py
+++ b/marbleglade/transport/arrival.py
@@ -47,7 +47,7 @@
         """Return whether the reader has waited long enough for polls to prove that the socket was empty."""
         return self._waiting_since is not None and self._loop.ticks - self._waiting_since >= MIN_EMPTY_TICKS
 
-    def may_have_waited(self, now: int, duration: int) -> bool:
+    def may_be_unread_longer_than(self, now: int, duration: int) -> bool:
         """Return whether bytes may have been unread for longer than `duration`, ns.
 
         Without a running loop monitor this is always true.
--- a/marbleglade/transport/attempt_check.py
+++ b/marbleglade/transport/attempt_check.py
@@ -94,7 +94,7 @@
         """Count and log an attempt that was not written."""
         self._counters.add("attempt.stale")
         self._counters.add(f"attempt.withheld.{reason.value}")
-        if self._log.debug_on:
+        if self._log.debug_enabled:
             self._log.debug(
                 "withheld",
                 trace=client_request.trace_id,
--- a/marbleglade/transport/client_connection.py
+++ b/marbleglade/transport/client_connection.py
@@ -88,7 +88,7 @@
         self._request_classes = request_classes
 
     @property
-    def has_pending_responses(self) -> bool:
+    def has_pending_work(self) -> bool:
         """Whether a message has yet to be handled, or a response has yet to be written."""
         return bool(
             self.open_requests
--- a/marbleglade/transport/client_end_detector.py
+++ b/marbleglade/transport/client_end_detector.py
@@ -48,7 +48,7 @@
             return
         if client.has_pending_cancel(tag):
             self.cancel(client, tag)
-        elif client.arrivals.may_have_waited(self._clock(), MAX_UNREAD_NS):
+        elif client.arrivals.may_be_unread_longer_than(self._clock(), MAX_UNREAD_NS):
             unread = unread_input(client.sock)
             if unread.ended:
                 self.check_connection(client)
@@ -64,7 +64,7 @@
 
     def connection_half_closed(self, client: ClientConnection[RequestT]) -> None:
         """Stop further attempts for all open requests of a client that has closed its side."""
-        if self._log.debug_on:
+        if self._log.debug_enabled:
             self._log.debug("client_left", client=client.number, open=len(client.open_requests))
         for request in list(client.open_requests.values()):
             self.request_half_closed(request)
@@ -79,6 +79,6 @@
         if request is None:
             return
         self._counters.add("request.cancel_received")
-        if self._log.debug_on:
+        if self._log.debug_enabled:
             self._log.debug("cancelled", client=client.number, tag=tag)
         self._guard.call("client_disconnected", self._service.client_disconnected, request)
--- a/marbleglade/transport/client_listener.py
+++ b/marbleglade/transport/client_listener.py
@@ -133,7 +133,7 @@
 
     def _record_accept_failure(self, error: OSError) -> None:
         self._counters.add("client.accept_failed")
-        if self._log.debug_on:
+        if self._log.debug_enabled:
             self._log.debug("accept_failed", error=str(error))
 
     def _start_connection(self, sock: socket.socket, earliest_arrival: int) -> None:
--- a/marbleglade/transport/client_registry.py
+++ b/marbleglade/transport/client_registry.py
@@ -87,9 +87,9 @@
         self.closing: dict[ClientConnection[RequestT], int] = {}
 
     @property
-    def has_pending_responses(self) -> bool:
+    def has_pending_work(self) -> bool:
         """Whether any connection has a message to be handled or a response to be written."""
-        return any(client.has_pending_responses for client in self.open)
+        return any(client.has_pending_work for client in self.open)
 
     def add(self, client: ClientConnection[RequestT]) -> None:
         """Add a new connection and count it."""
@@ -118,7 +118,7 @@
         """
         recently = self._clock() - NEW_CLIENT_GRACE_NS
         return sorted(
-            (client for client in self.open if not client.has_pending_responses),
+            (client for client in self.open if not client.has_pending_work),
             key=lambda client: (
                 not client.has_sent_message and client.accepted_at > recently,
                 client.has_sent_message,
@@ -133,7 +133,7 @@
         Connections with pending responses are not closed.
         """
         candidates = [
-            client for client in self.open if client.partial_frame_bytes and not client.has_pending_responses
+            client for client in self.open if client.partial_frame_bytes and not client.has_pending_work
         ]
         if not candidates:
             return False
@@ -151,7 +151,7 @@
             # the close is delayed while there are unread bytes, by at most `UNFINISHED_TIMEOUT_NS`.
             if now > self.closing[client] + UNFINISHED_TIMEOUT_NS or not has_unread_bytes(client.sock):
                 self.close(client, CloseReason.CLOSE_TIMEOUT)
-        for client in [client for client in self.open if not client.has_pending_responses]:
+        for client in [client for client in self.open if not client.has_pending_work]:
             self._close_if_idle(client, now)
 
     def _close_if_idle(self, client: ClientConnection[RequestT], now: int) -> None:
@@ -166,7 +166,7 @@
 
     def close_if_finished(self, client: ClientConnection[RequestT]) -> None:
         """Close a connection whose input has ended, once no response is pending on it."""
-        if not client.input_ended or client.has_pending_responses or client.closed:
+        if not client.input_ended or client.has_pending_work or client.closed:
             return
         if client.half_closed:
             self.close(client, CloseReason.CLOSED_BY_CLIENT)
@@ -200,7 +200,7 @@
         if client.closed:
             return
         client.closed = True
-        if self._log.debug_on:
+        if self._log.debug_enabled:
             text = f"{reason}: {error!r}" if error else reason.value
             self._log.debug(
                 "client_closed", client=client.number, reason=text, open=len(client.open_requests)
--- a/marbleglade/transport/discovery_watch.py
+++ b/marbleglade/transport/discovery_watch.py
@@ -255,7 +255,7 @@
         if connection.closed:
             return
         self._counters.add(f"discovery.{type(error).__name__}")
-        if self._log.debug_on:
+        if self._log.debug_enabled:
             self._log.debug("watch", state="ended", reason=str(error), last_index=self.last_index)
         self._close(connection)
         # After a time-out the other connections may still respond, and further ones are opened on schedule.
--- a/marbleglade/transport/request_dispatcher.py
+++ b/marbleglade/transport/request_dispatcher.py
@@ -125,11 +125,11 @@
         client.consecutive_unserved = 0
         request.received_at = arrival_time(earliest_arrival, self._clock())
         request.check_client_end = partial(self._end_detector.check_request, client, request.tag)
-        if self._log.debug_on:
+        if self._log.debug_enabled:
             self._log.debug("read", trace=request.trace_id, client=client.number, tag=request.tag)
         if self._service.over_capacity() or self._buffers.used + len(request.body) > self._buffers.limit:
             self._counters.add("request.rejected_at_admission")
-            if self._log.debug_on:
+            if self._log.debug_enabled:
                 self._log.debug("finished", trace=request.trace_id, outcome="REJECTED", reason="no room")
             self._queue_response(client, request.tag, STATUS_REJECTED)
             return
--- a/marbleglade/transport/upstream_client.py
+++ b/marbleglade/transport/upstream_client.py
@@ -219,7 +219,7 @@
         return result
 
     def _log_attempt(self, client_request: ClientRequest, order: AttemptOrder, timeout_ms: int) -> None:
-        if self._log.debug_on:
+        if self._log.debug_enabled:
             attempt = order.attempt
             self._log.debug(
                 "attempt",
--- a/marbleglade/transport/watch_connection.py
+++ b/marbleglade/transport/watch_connection.py
@@ -6,7 +6,7 @@
 
 from gevent import socket
 
-from ..protocols.discovery_protocol import EventDecoder, encode_follow
+from ..protocols.discovery_protocol import EventDecoder, encode_subscription
 from ..runtime import clock
 from ..runtime.loop_monitor import LoopMonitor
 from ..runtime.units import MILLISECOND_NS, SECOND_NS
@@ -47,7 +47,7 @@
         """
         self._sock.settimeout(timeout_ns / SECOND_NS)
         self._sock.connect(address)
-        self._sock.sendall(encode_follow(last_index))
+        self._sock.sendall(encode_subscription(last_index))
         self._arrivals = ArrivalBound(self._loop, self._loop.last_tick)
 
     def read(self, timeout_ns: int) -> Iterator[memoryview]:
@@ -73,7 +73,7 @@
         """Return whether events may have been unread for longer than `MAX_UNREAD_NS`."""
         if self.closed or self._arrivals is None:
             return False
-        return self._arrivals.may_have_waited(clock.now(), MAX_UNREAD_NS)
+        return self._arrivals.may_be_unread_longer_than(clock.now(), MAX_UNREAD_NS)
 
     def read_pending(self) -> memoryview | None:
         """Return the unread bytes without blocking; None or empty if there are none, or only the end is left.
--- a/tests/control/front_client/test_front_process.py
+++ b/tests/control/front_client/test_front_process.py
@@ -263,7 +263,7 @@
     program = (
         "import os, sys, marbleglade.__main__, marbleglade.service.front_process\n"
         "from marbleglade.service import startup_configuration, wiring\n"
-        "front = wiring.build_front(startup_configuration.read_startup(os.environ))\n"
+        "front = wiring.build_front(startup_configuration.read_startup_configuration(os.environ))\n"
         "loaded = [name for name in sys.modules if name.startswith(('marbleglade.control', 'google'))]\n"
         "print(front.control, loaded, len(front.loops()))"
     )
--- a/tests/harness/in_process_front.py
+++ b/tests/harness/in_process_front.py
@@ -13,7 +13,7 @@
 from marbleglade.model.policy_protocol import PolicyProtocol
 from marbleglade.model.request import Request
 from marbleglade.policy_driver import PolicyDriver
-from marbleglade.request_handler import HandlerParts, RequestHandler
+from marbleglade.request_handler import HandlerComponents, RequestHandler
 from marbleglade.runtime import clock
 from marbleglade.runtime.counters import Counters
 from marbleglade.runtime.error_guard import ErrorGuard
@@ -111,7 +111,7 @@
         )
 
     def _request_handler(self, limits: FrontLimits, purges: PurgeHistory) -> RequestHandler:
-        parts = HandlerParts(
+        parts = HandlerComponents(
             self.policy_driver,
             self.upstream_client,
             self.upstreams,
--- a/tests/protocols/test_golden_bytes.py
+++ b/tests/protocols/test_golden_bytes.py
@@ -134,5 +134,5 @@
     assert cache_protocol.encode_cancel("ab") == b"undo ab\r\n"
     assert cache_protocol.encode_health_check("t1") == b"top t1\r\n"
     assert cache_protocol.encode_health_check("t1", False) == b"ping t1\r\n"
-    assert discovery_protocol.encode_follow(0) == b"follow 0\n"
-    assert discovery_protocol.encode_follow(9007199254740993) == b"follow 9007199254740993\n"
+    assert discovery_protocol.encode_subscription(0) == b"follow 0\n"
+    assert discovery_protocol.encode_subscription(9007199254740993) == b"follow 9007199254740993\n"
--- a/tests/runtime/test_shutdown.py
+++ b/tests/runtime/test_shutdown.py
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    "timeout, since_s, pending, may_exit, must_give_up",
+    "timeout, since_s, pending, may_exit, must_end_requests",
     [
         (5 * SECOND_NS, None, 0, False, False),
         (5 * SECOND_NS, 0.3, 0, False, False),
@@ -18,14 +18,14 @@
     ],
 )
 def test_a_front_exits_or_ends_requests_depending_on_the_time_since_the_shutdown_request(
-    timeout, since_s, pending, may_exit, must_give_up
+    timeout, since_s, pending, may_exit, must_end_requests
 ):
     shutdown = GracefulShutdown(timeout)
     if since_s is not None:
         shutdown.request(1000 * SECOND_NS)
         shutdown.request(1001 * SECOND_NS)  # only the first request counts
     now = 1000 * SECOND_NS + int((since_s or 0) * SECOND_NS)
-    assert (shutdown.may_exit(now, pending), shutdown.must_give_up(now)) == (may_exit, must_give_up)
+    assert (shutdown.may_exit(now, pending), shutdown.must_end_requests(now)) == (may_exit, must_end_requests)
 
 
 @pytest.mark.parametrize("timeout_ms, give_up_after_ms", [(5000, 3400), (2000, 2500), (300, 900), (50, 700)])
--- a/tests/service/test_front_process.py
+++ b/tests/service/test_front_process.py
@@ -40,7 +40,7 @@
         self.driver = SimpleNamespace(
             run_timers=self.run_timers, give_up_all=self.give_up_all, open_requests=[1]
         )
-        connections = SimpleNamespace(sweep=list, has_pending_responses=False)
+        connections = SimpleNamespace(sweep=list, has_pending_work=False)
         clients = SimpleNamespace(connections=connections, drain_backlog=lambda _listener: False)
         caches = SimpleNamespace(close_idle=list)
         environment = SimpleNamespace(parameters=SimpleNamespace(clock_resolution=2 * NS_PER_MS))
@@ -70,7 +70,9 @@
 
     def check_shutdown(self) -> None:
         """Record the first time at which open requests must be ended."""
-        if not self.must_give_up_at and self.shutdown.must_give_up(self.now, self.monitor.recent_delay()):
+        if not self.must_give_up_at and self.shutdown.must_end_requests(
+            self.now, self.monitor.recent_delay()
+        ):
             self.must_give_up_at = self.now
 
     def sleep(self, seconds: float) -> None:
--- a/tests/service/test_shutdown_races.py
+++ b/tests/service/test_shutdown_races.py
@@ -30,18 +30,16 @@
     sock, client = front.connect_slow_client()
     sock.sendall(front.request(7))
     wait_until(lambda: client.flush_done)
-    assert (
-        not len(front.policy_driver.open_requests) and front.client_listener.connections.has_pending_responses
-    )
+    assert not len(front.policy_driver.open_requests) and front.client_listener.connections.has_pending_work
     stop = GracefulShutdown(2500 * NS_PER_MS)
     stop.request(0)
     assert not stop.may_exit(
         1000 * NS_PER_MS,
-        len(front.policy_driver.open_requests) or front.client_listener.connections.has_pending_responses,
+        len(front.policy_driver.open_requests) or front.client_listener.connections.has_pending_work,
     )
     whole = resp_array(b"7", b"ok", b"", b"x" * 60_000)
     assert read_bytes(sock, len(whole)) == whole
-    wait_until(lambda: not front.client_listener.connections.has_pending_responses)
+    wait_until(lambda: not front.client_listener.connections.has_pending_work)
 
 
 def test_requests_that_are_unread_at_the_shutdown_are_read_and_answered(program):
@@ -75,9 +73,7 @@
     sock = front.connect_client()
     sock.sendall(front.request(7))
     wait_until(
-        lambda: (
-            front.counters.counts["answer.ok"] and not front.client_listener.connections.has_pending_responses
-        )
+        lambda: front.counters.counts["answer.ok"] and not front.client_listener.connections.has_pending_work
     )
     sock.sendall(
         resp_array(b"STATUS", b"9", b"") * 50
@@ -98,8 +94,7 @@
         sock.sendall(front.request(7, f"{socks.index(sock):016x}"))
     wait_until(
         lambda: (
-            front.counters.counts["answer.ok"] == 3
-            and not front.client_listener.connections.has_pending_responses
+            front.counters.counts["answer.ok"] == 3 and not front.client_listener.connections.has_pending_work
         )
     )
     for sock in socks:
@@ -129,7 +124,7 @@
     wait_until(
         lambda: (
             not len(front.policy_driver.open_requests)
-            and not front.client_listener.connections.has_pending_responses
+            and not front.client_listener.connections.has_pending_work
         )
     )
     gevent.sleep(0.01)
--- a/tests/service/test_startup_configuration.py
+++ b/tests/service/test_startup_configuration.py
@@ -13,7 +13,7 @@
     (tmp_path / "c.json").write_text(
         json.dumps(front_configuration(peer_listen="127.0.0.1:7", peers=["127.0.0.1:8"]))
     )
-    configuration = startup_configuration.read_startup({"GW_CONFIG": str(tmp_path / "c.json")})
+    configuration = startup_configuration.read_startup_configuration({"GW_CONFIG": str(tmp_path / "c.json")})
     assert configuration.name == "n3" and configuration.listen == ("127.0.0.1", 4100)
     assert configuration.memory_bytes == 192 << 20 and configuration.max_descriptors == 300
     assert configuration.last_event == 2 and len(configuration.known_events) == 2
@@ -51,4 +51,4 @@
 
 def test_a_front_does_not_start_without_a_configuration():
     with pytest.raises(startup_configuration.InvalidConfigurationError, match="GW_CONFIG"):
-        startup_configuration.read_startup({})
+        startup_configuration.read_startup_configuration({})
--- a/tests/settings/test_other_deployments.py
+++ b/tests/settings/test_other_deployments.py
@@ -183,7 +183,7 @@
         startup_configuration.InvalidConfigurationError,
         match="|".join(("limits", "known", "bytes_per_s", "peers")),
     ):
-        startup_configuration.read_startup({"GW_CONFIG": str(tmp_path / "c.json")})
+        startup_configuration.read_startup_configuration({"GW_CONFIG": str(tmp_path / "c.json")})
 
 
 @pytest.mark.parametrize(
@@ -263,7 +263,7 @@
 ):
     """With only the rate of one transfer configured, objects were once cached and never served."""
     (tmp_path / "c.json").write_text(json.dumps(front_configuration(flow_bytes_per_s=1000, **link)))
-    configuration = startup_configuration.read_startup({"GW_CONFIG": str(tmp_path / "c.json")})
+    configuration = startup_configuration.read_startup_configuration({"GW_CONFIG": str(tmp_path / "c.json")})
     parameters = configuration.environment.parameters
     assert parameters.local_link_capacity == capacity
     harness = PolicyHarness(
--- a/tests/state/test_upstream_registry.py
+++ b/tests/state/test_upstream_registry.py
@@ -58,7 +58,7 @@
     events.withhold_upstreams(FRONT_STARTED_MS)
     front.apply_endpoints("listed", state="leaving")
     front.apply_endpoints("removed", state="left")
-    events.apply_gossip(UpstreamLeaving(3, "gossiped", 0))
+    events.apply_peer_update(UpstreamLeaving(3, "gossiped", 0))
     events.take_out_of_service({name_hash(b"out"): 0})
     events.release_upstreams()
     drained = dict.fromkeys(["listed", "gossiped", "out"], UpstreamState.DRAINING)
--- a/tests/system/test_no_request_unanswered.py
+++ b/tests/system/test_no_request_unanswered.py
@@ -85,7 +85,7 @@
     wait_until(
         lambda: (
             not len(front.policy_driver.open_requests)
-            and not front.client_listener.connections.has_pending_responses
+            and not front.client_listener.connections.has_pending_work
         )
     )
     assert exception_count(front) == 1
--- a/tests/transport/test_arrival.py
+++ b/tests/transport/test_arrival.py
@@ -95,7 +95,7 @@
 def test_without_a_running_monitor_bytes_may_have_waited_for_any_time(loop):
     loop.watching = False
     bound = ArrivalBound(loop, loop.now)
-    assert bound.may_have_waited(loop.now, 1 << 60)
+    assert bound.may_be_unread_longer_than(loop.now, 1 << 60)
 
 
 def test_the_arrival_time_is_set_back_only_if_the_wait_was_longer_than_usual():
--- a/tests/transport/test_peer_datagrams.py
+++ b/tests/transport/test_peer_datagrams.py
@@ -32,12 +32,12 @@
 def test_peers_receive_removals_and_purges_and_nothing_else(front):
     addresses = free_addresses(2)
     received = []
-    apply_gossip = front.request_handler.events.apply_gossip
+    apply_peer_update = front.request_handler.events.apply_peer_update
     querying = PeerSocket(
         addresses[0], addresses, 1, anti_entropy_without_contact(), received.append, lambda: 0, front.guard
     )
     publishing = PeerSocket(
-        addresses[1], addresses, 1, anti_entropy_without_contact(), apply_gossip, clock.now, front.guard
+        addresses[1], addresses, 1, anti_entropy_without_contact(), apply_peer_update, clock.now, front.guard
     )
     loops = [gevent.spawn(peer.run) for peer in (querying, publishing)]
     front.publish, front.retract = publishing.record, publishing.anti_entropy.retract
--- a/tests/transport/test_read_ahead.py
+++ b/tests/transport/test_read_ahead.py
@@ -59,7 +59,7 @@
     close_if_finished = connections.close_if_finished
 
     def record_and_close(connection: ClientConnection) -> None:
-        recorded.append((len(connection.pending_messages), connection.has_pending_responses))
+        recorded.append((len(connection.pending_messages), connection.has_pending_work))
         close_if_finished(connection)
 
     # Called once the responses were written, before pending messages are handled.
