--- a/marbleglade/transport/client_registry.py
+++ b/marbleglade/transport/client_registry.py
@@ -27,15 +27,15 @@
     CLOSED_BY_CLIENT = "closed by its client, no response pending"
     RESET = "reset"
     WRITE_FAILED = "write failed"
-    SLOW_READER = "client does not read its responses"
+    SLOW_READER = "does not read its responses"
     INCOMPLETE_RESPONSE = "exception while a response was written"
     EXCEPTION = "exception"
     OVER_LIMIT = "over the limit of connections"
-    OVER_LIMIT_CLOSING = "over the limit of connections, already closing"
-    CLOSE_TIMEOUT = "client did not close after its responses"
+    OVER_LIMIT_CLOSING = "over the limit of connections, closing already"
+    CLOSE_TIMEOUT = "did not close after its responses"
     UNFINISHED = "unfinished"
     IDLE = "idle"
-    NO_BUFFER = "over the limit of buffered bytes, partial message"
+    NO_BUFFER = "no room for partial messages"
 
 
 class ClientLimits(NamedTuple):
