--- a/marbleglade/fleet/__init__.py
+++ b/marbleglade/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What fronts settle among themselves, over the datagrams between them. Nothing here does I/O."""
+"""Membership, leadership, load views and anti-entropy among fronts, which exchange datagrams."""
--- a/marbleglade/fleet/agent.py
+++ b/marbleglade/fleet/agent.py
@@ -1,7 +1,8 @@
-"""One front's part in the fleet: membership, leadership and the load view, driven by one timer.
+"""The fleet agent of one front: membership, leadership and the load view, driven by one timer.
 
-Free of I/O, clocks and unseeded randomness: `tick` and `receive` return the messages to send, the adapter
-sends them. In each probe interval one member is probed, and two views are computed.
+The agent does no I/O and reads no clock, and its randomness is seeded: `tick` and `receive` return the
+messages to send, and the adapter sends them. In each probe interval the agent probes one member, and the
+leader computes two load views.
 """
 
 from __future__ import annotations
@@ -42,31 +43,31 @@
 )
 
 VIEW_TASK = b"views"
-EVERYONE = -1  # a receiver: all fronts
-CONTROL_NODE = -2  # a receiver: the control node that computes the view for this front
-REPORTS_PER_PROBE = 2
-MAX_LISTED = 32  # members that are not alive, in a status
+EVERYONE = -1  # the receiver number that stands for all fronts
+CONTROL_NODE = -2  # the receiver number that stands for this front's control node
+REPORTS_PER_PROBE = 2  # load reports, or views, in each probe interval
+MAX_LISTED = 32  # numbers in the `not_alive` field of a status
 
 
 @dataclass(slots=True, frozen=True)
 class ReportedLoad:
-    """The load of a zone's caches, and when they reported it."""
+    """The congestion that a zone's caches reported, and the time of the report, ns."""
 
     value: float
     reported_at: int
 
 
 class FleetAgent:
-    """The protocol of one front with its fleet.
+    """The fleet protocol of one front.
 
     Args:
         own_number: The number of this front.
-        count: Members in the list of peers.
+        count: Number of members in the list of peers.
         started_ms: When this front started, in Unix milliseconds.
         parameters: The parameters of the front's policy.
         probe_interval: Nanoseconds between two probes.
-        now: The present time, ns.
-        seed: Seed of the random draws.
+        now: The current time, ns.
+        seed: Seed of the random choices.
     """
 
     def __init__(
@@ -85,15 +86,15 @@
         self.membership = Membership(own_number, count, started_ms, probe_interval, now, seed)
         self.leadership = Leadership(VIEW_TASK, own_number, self.report_interval, now)
         self.aggregator = LoadAggregator(self.report_interval, parameters.load_probes_allowed)
-        self.sums = SlidingSums()
+        self.sliding_sums = SlidingSums()
         self.next_report_at = now
-        self.sequence = started_ms << 16  # grows over restarts too
+        self.sequence = started_ms << 16  # of the last report; it grows across restarts too
         self.view: AggregatedView | None = None
         self.view_received_at = 0
         self.own_load_ms = 0
-        self.is_draining_for_maintenance = False  # another front leads instead
-        self.number_in_views = own_number
-        self.uses_control_nodes = False  # control nodes compute the view, the fronts compute none
+        self.is_draining_for_maintenance = False  # such a front does not lead
+        self.number_in_views = own_number  # by which views refer to this front
+        self.uses_control_nodes = False  # control nodes compute the view instead of a leading front
         self.fleet_view: FleetView | None = None
 
     def tick(
@@ -105,9 +106,9 @@
         """Run the timers and return the messages that are due.
 
         Args:
-            now: The present time.
-            observe: Called once per report.
-            zone_load: The last load of this front's zone; called once per report.
+            now: The current time, ns.
+            observe: Returns this front's load observations; called once per report.
+            zone_load: Returns the latest load of this front's zone; called once per report.
         """
         outgoing: list[Outgoing[FleetMessage]] = [*self.membership.tick(now)]
         if now < self.next_report_at:
@@ -117,8 +118,8 @@
         report = self._make_report(observe(), zone_load())
         if self.uses_control_nodes:
             return [*outgoing, Outgoing(CONTROL_NODE, report)]
-        # A suspected member is not preferred, so its successor need not wait until the suspicion expires. A
-        # suspected leader that is still heard is kept by `Leadership`.
+        # A suspected member cannot be preferred, so its successor need not wait until the suspicion expires.
+        # While messages of a suspected leader still arrive, `Leadership` keeps that leader.
         is_preferred = preferred_holder(VIEW_TASK, self.membership.healthy()) == self.own_number
         may_lead = is_preferred and not self.membership.is_leaving and not self.is_draining_for_maintenance
         if self.leadership.tick(may_lead, now):
@@ -131,7 +132,7 @@
         return outgoing
 
     def receive(self, sender: int, message: FleetMessage, now: int) -> list[Outgoing[FleetMessage]]:
-        """Process a message of a listed front and return the answers; a new view replaces `fleet_view`."""
+        """Process a message of a listed front and return replies; a newer view replaces `fleet_view`."""
         if isinstance(message, Ping | Ack | PingRequest):
             return [*self.membership.receive(sender, message, now)]
         if self.uses_control_nodes:
@@ -139,18 +140,18 @@
         if isinstance(message, FrontReport):
             self.aggregator.add_report(sender, message, now)
         elif self.leadership.accept_leader(message.term, sender, now):
-            known = self.view
-            if not known or (message.term, message.sequence) > (known.term, known.sequence):
+            current = self.view
+            if not current or (message.term, message.sequence) > (current.term, current.sequence):
                 self.adopt_view(message, now)
         return []
 
     def use_control_nodes(self, number: int) -> None:
-        """Have control nodes compute the view from now on; they name this front by that number."""
+        """Use the views of control nodes from now on, which refer to this front by `number`."""
         self.uses_control_nodes = True
         self.number_in_views = number
 
     def adopt_view(self, view: AggregatedView, now: int) -> None:
-        """Derive what this front's policy applies from a new view."""
+        """Store a new view and compute from it the `fleet_view` of this front's policy."""
         self.view = view
         self.view_received_at = now
         own_number = self.number_in_views
@@ -180,14 +181,14 @@
         )
 
     def zone_load(self) -> ReportedLoad | None:
-        """Return the load of this front's zone as the fleet knows it; None if it does not."""
+        """Return the load of this front's zone by the current view; None if the view has none."""
         load = self.view.zone_loads.get(self.parameters.zone) if self.view else None
         if load is None or load.age_ms >= UNKNOWN_AGE_MS:
             return None
         return ReportedLoad(load.value, self.view_received_at - load.age_ms * MILLISECOND_NS)
 
     def status(self, now: int) -> FleetStatus:
-        """Return the state for the log."""
+        """Return the fleet's state for the log."""
         members = self.membership.members
         alive = self.membership.alive()
         view, fleet_view = self.view, self.fleet_view
@@ -206,7 +207,7 @@
         }
 
     def leadership_status(self) -> LeadershipStatus:
-        """Return for the log who computes the view."""
+        """Return for the log which front computes the view."""
         leadership = self.leadership
         return {
             "term": leadership.term,
@@ -215,7 +216,10 @@
         }
 
     def _report_receiver(self, now: int) -> int | None:
-        """Return the leader of the latest term while its messages arrive, else the preferred one."""
+        """Return the receiver of this front's report; None if there is no receiver other than this front.
+
+        It is the leader of the latest term while its messages arrive, and the preferred holder afterwards.
+        """
         leader = self.leadership.leader
         is_current = now - self.leadership.last_contact_at <= FRESH_PERIODS * self.report_interval
         if leader in self.membership.members and is_current:
@@ -234,16 +238,16 @@
         for key, usage in observations.links.items():
             counters["work", key] = usage.transfer_time
             counters["duration", key] = usage.duration
-        self.sums.add_period(counters)
+        self.sliding_sums.add_period(counters)
         self.own_load_ms = self._sum_ms("requested_work")
         self.sequence += 1
         return FrontReport(
             self.sequence,
             zone=self.parameters.zone,
             load_ms=self.own_load_ms,
-            first_requests=self.sums.sum("first_requests"),
-            retry_cost=self.sums.sum("retry_cost"),
-            rejected=self.sums.sum("rejected"),
+            first_requests=self.sliding_sums.sum("first_requests"),
+            retry_cost=self.sliding_sums.sum("retry_cost"),
+            rejected=self.sliding_sums.sum("rejected"),
             links=self._link_work(observations),
             zone_loads={self.parameters.zone: zone_load} if zone_load else {},
             open_circuits=observations.open_circuits[:MAX_OPEN_CIRCUITS],
@@ -251,7 +255,7 @@
         )
 
     def _link_work(self, observations: LoadObservations) -> dict[int, LinkWork]:
-        """Return the work of each link that did some, in milliseconds."""
+        """Return the work of each link that had transfers in the window, in milliseconds."""
         work = {key: self._sum_ms(("work", key)) for key in observations.links}
         return {
             key: LinkWork(work_ms, self._sum_ms(("duration", key)))
@@ -260,12 +264,12 @@
         }
 
     def _sum_ms(self, name: object) -> int:
-        return self.sums.sum(name) // MILLISECOND_NS
+        return self.sliding_sums.sum(name) // MILLISECOND_NS
 
     def _age_view(self, now: int) -> None:
-        """Let the shares of an expired view age towards what a front without a fleet has.
+        """Move the shares of an expired view towards those of a front without a fleet.
 
-        Everything else in the view has expired: the front uses its own observations.
+        Nothing else in an expired view is used: the front relies on its own observations.
         """
         view = self.view
         expired_for = now - self.view_received_at - FRESH_PERIODS * self.report_interval
--- a/marbleglade/fleet/agent_adapter.py
+++ b/marbleglade/fleet/agent_adapter.py
@@ -1,4 +1,4 @@
-"""Transport of a fleet agent: its datagrams, its reports to control nodes, and the views for the policy."""
+"""Connects a fleet agent to its datagram socket, to the control nodes and to the front's policy."""
 
 from __future__ import annotations
 
@@ -19,23 +19,24 @@
 from .load_view import AggregatedView, ZoneLoad
 from .messages import FleetMessage
 
-# The shortest timer of the fleet and of maintenance is a quarter of a probe interval (a 24th of a lease). A
-# longer period would leave out rounds of queries, and let leases of a fast fleet run out.
+# The shortest timer of the fleet and of maintenance is a quarter of a probe interval, which is a 24th of a
+# maintenance lease. With a longer period, rounds of queries would be skipped, and leases would expire in a
+# fleet with a short probe interval.
 TICKS_PER_PROBE_INTERVAL = 4
 MAX_TICK_PERIOD_NS = SECOND_NS // 4
 
 
 class FleetAdapter:
-    """Connects one front's fleet agent to its sockets. Nothing is decided here.
+    """Sends and receives for one front's fleet agent, and makes no decisions itself.
 
     Args:
         name: The front's name, which seeds the agent's random draws.
         probe_interval: Nanoseconds between two probes.
-        driver: The front's policy.
-        front: Source and destination of the zone's load reports.
-        peers: The datagram socket; its list of peers numbers the members.
-        log: Writes a line to the log.
-        plan_path: The file of the maintenance plan; "": there is none.
+        driver: The driver of the front's policy, which receives the fleet views.
+        front: The request handler, whose monitor stores the zone's load reports.
+        peers: The datagram socket; a member's number is its position in the socket's list of peers.
+        log: Writes an event to the log.
+        plan_path: Path of the maintenance plan; "" if there is none.
 
     Attributes:
         tick_period: Nanoseconds between two calls of `tick`.
@@ -79,11 +80,11 @@
         peers.attach_fleet(self)
 
     def use_control_nodes(self, number: int, send_report: Callable[[bytes], object]) -> None:
-        """Have control nodes compute the load view.
+        """Use the load views of control nodes from now on.
 
         Args:
             number: This front's position in the control plane's settings.
-            send_report: Sends them an encoded load report.
+            send_report: Sends an encoded load report to this front's control node.
         """
         self.send_report = send_report
         self.agent.use_control_nodes(number)
@@ -96,21 +97,21 @@
             self._apply_view()
 
     def reload_plan(self) -> None:
-        """Adopt a new maintenance plan at once."""
+        """Read the maintenance plan again and apply it at once."""
         if self.maintenance is None:
             return
         self.maintenance.reload_plan()
         self._send_maintenance(self.maintenance.tick(clock.now()))
 
     def tick(self) -> None:
-        """Send what is due; called each `tick_period`."""
+        """Run the timers and send the messages that are due; called every `tick_period`."""
         self._send(self.agent.tick(clock.now(), self.driver.observations, self._zone_load))
         self._apply_view()
         if self.maintenance:
             self._send_maintenance(self.maintenance.tick(clock.now()))
 
     def handle_datagram(self, data: bytes, sender: Address) -> bool:
-        """Process a datagram that is no message of the peer socket's own; false if it is unknown here too."""
+        """Process a datagram that is not an anti-entropy message; false if its kind or sender is unknown."""
         message = fleet_datagrams.decode(data)
         number = self.peers.member_numbers.get(sender)
         if number is None:
@@ -122,11 +123,11 @@
         return True
 
     def peers_replaced(self) -> None:
-        """Follow the new list of peers."""
+        """Resize the membership to the new list of peers."""
         self.agent.membership.resize(len(self.peers.addresses))
 
     def leave(self) -> None:
-        """Announce that this front leaves the fleet on purpose."""
+        """Announce that this front leaves the fleet intentionally."""
         self._send(self.agent.membership.leave(clock.now()))
 
     def _handle_maintenance(self, sender: int, data: bytes) -> bool:
@@ -139,7 +140,7 @@
         return True
 
     def _apply_view(self) -> None:
-        """Hand a new view to the policy, and log what changed."""
+        """Pass a new view to the policy, and log changes of membership and leadership."""
         agent = self.agent
         if agent.fleet_view is not None and agent.fleet_view is not self.applied_view:
             self.applied_view = agent.fleet_view
@@ -154,14 +155,14 @@
             self.log("leadership", **agent.leadership_status())
 
     def _zone_load(self) -> ZoneLoad | None:
-        """Return the last load reported in this zone, with its age; None if there is none."""
+        """Return the latest load reported by this zone's caches, with its age; None if there is none."""
         if not (last := self.front.monitor.latest_congestion()):
             return None
         value, reported_at = last
         return ZoneLoad(value, max(0, clock.now() - reported_at) // MILLISECOND_NS)
 
     def _send(self, outgoing: Iterable[Outgoing[FleetMessage]]) -> None:
-        """Encode and send messages to one member, to all, or to the control node."""
+        """Encode messages and send each to one member, to all members, or to the control node."""
         for item in outgoing:
             data = fleet_datagrams.encode(item.message)
             if item.to == EVERYONE:
--- a/marbleglade/fleet/agent_status.py
+++ b/marbleglade/fleet/agent_status.py
@@ -1,4 +1,4 @@
-"""The status of a front's fleet agent, as the log has it."""
+"""The log fields that describe the state of a front's fleet agent."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LeadershipStatus(TypedDict):
-    """Who computes the load view; attributes as in `Leadership`."""
+    """The front that computes the load view; attributes as in `Leadership`."""
 
     term: int
     leader: int
@@ -14,16 +14,21 @@
 
 
 class FleetStatus(TypedDict):
-    """The fleet as one front sees it.
+    """The state of the fleet as observed by one front.
 
     Attributes:
-        alive: How many members are alive.
-        listed: How many members the list of peers has.
-        local_health: By how much this front's probe timeouts are extended; 0: not at all.
-        not_alive: Numbers of the first members that are not alive.
-        reporting_fronts: Fronts whose reports the load view includes; None, as in the fields below: no view.
-        view_age_ms: Time since the view was received.
-        window_ms: The time that a report sums up.
+        alive: Number of members that are alive.
+        listed: Number of members in the list of peers.
+        local_health: Lifeguard's local health multiplier, by which probe timeouts grow; 0 is the best value.
+        not_alive: Numbers of members that are not alive, the lowest first, at most `agent.MAX_LISTED`.
+        leadership: The front that computes the load view.
+        reporting_fronts: Number of fronts whose reports the load view includes. This field and the next four
+            are None while there is no view.
+        view_age_ms: Milliseconds since the view was received.
+        traffic_share: This front's part of the fleet's load; 1 is all of it.
+        retry_budget_factor: Factor on this front's own retry budget.
+        shed_ratio: Requests rejected by the fleet for each one admitted.
+        window_ms: Milliseconds covered by the sums in a load report.
     """
 
     alive: int
--- a/marbleglade/fleet/anti_entropy.py
+++ b/marbleglade/fleet/anti_entropy.py
@@ -1,13 +1,13 @@
 """Anti-entropy between fronts: a front that may have missed discovery events queries a peer for them.
 
-Every front watches the discovery service itself, so no front pushes events to its peers. A front
-that has received nothing from the service for over an interval queries a peer for what that one received
-meanwhile, and repeats this, each time with other peers, until the service is heard again; any other front
-queries now and then, in case it receives less than its peers. A reply states up to when it is complete, so
-nothing is queried twice. Only removals are passed on.
-
-Free of I/O, clocks and randomness: times are integer nanoseconds of the caller's one monotonic clock. Only
-ages are sent, so the fronts' clocks need not agree.
+Every front watches the discovery service itself, so no front pushes events to its peers. A front that has
+received nothing from the service for over an interval queries a peer for the updates that the peer received
+in that time. It repeats this, each time with other peers, until the service sends again. Any other front
+queries at long intervals, in case it receives less than its peers. A reply states the time up to which it is
+complete, so no period is queried twice. Only purges and removals of upstreams are exchanged.
+
+This module does no I/O, reads no clock and has no randomness: times are integer nanoseconds of the caller's
+monotonic clock. Messages contain only ages, so the fronts' clocks need not agree.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 )
 from ..runtime.units import MILLISECOND_NS
 
-MAX_UPDATES = 512  # kept; the oldest is dropped first
+MAX_UPDATES = 512  # kept at one front; beyond this number, the oldest update is dropped first
 MAX_PENDING_QUERIES = 8
-MAX_ROUNDS = 16  # unanswered rounds in a row, after which the queries slow down
-PEERS_PER_ROUND = 3  # after two unanswered rounds; one before
+MAX_FAST_ROUNDS = 16  # unanswered rounds in a row after which the interval between rounds grows
+PEERS_PER_ROUND = 3  # peers queried in a round after two unanswered rounds; before that, one peer
 # Ratios to the discovery service's interval.
-SILENCE = 1.25  # without a line from the service, after which a front queries peers
-RETRY_INTERVAL = 0.25  # between rounds while the last one is unanswered
-FOLLOW_UP_INTERVAL = 0.5  # between rounds once one was answered, or too many were not
-ROUTINE_INTERVAL = 2.5  # while the service is heard; well under the longest delay of a discovery service
+SILENCE_THRESHOLD = 1.25  # time without a line from the service after which a front queries peers
+RETRY_INTERVAL = 0.25  # between rounds while the last round is unanswered
+FOLLOW_UP_INTERVAL = 0.5  # between rounds after an answered round, or after too many unanswered ones
+ROUTINE_INTERVAL = 2.5  # while the service sends; well below the longest delay of a discovery service
 MAX_SPAN_MS = 0xFFFF_FFFF
 
 
@@ -56,14 +56,14 @@
 UpdateKey = PurgeKey | LeavingKey
 
 
-def _key(update: PeerUpdate) -> UpdateKey:
+def _update_key(update: PeerUpdate) -> UpdateKey:
     if isinstance(update, Purge):
         return PurgeKey(update.object_id, update.group, update.unix_ms)
     return LeavingKey(update.id, update.started_ms)
 
 
 class RecordedUpdate(NamedTuple):
-    """An update, and when this front received it."""
+    """An update, and the time at which this front received it, ns."""
 
     received_at: int
     update: PeerUpdate
@@ -71,55 +71,55 @@
 
 @dataclass(slots=True)
 class PendingQuery:
-    """When a query was sent, and the parts of its reply so far."""
+    """The time at which a query was sent, ns, and the parts of its reply received so far."""
 
     sent_at: int
     parts: dict[int, UpdateReply] = field(default_factory=dict)
 
 
 class AntiEntropy:
-    """One front's part: the updates that it received lately, and until when it has received all of them.
+    """The updates that a front received recently, and the period for which it has all of them.
 
     Args:
         interval: Nanoseconds between two lines of the discovery service.
-        retention: Nanoseconds for which an update may be needed.
-        now: The present time.
+        retention: Nanoseconds for which a peer may need an update.
+        now: The current time, ns.
     """
 
     def __init__(self, interval: int, retention: int, now: int) -> None:
         self.interval = interval
         self.retention = retention
         self.updates: OrderedDict[UpdateKey, RecordedUpdate] = OrderedDict()
-        self.complete_from = now  # no update received since then was dropped
-        self.complete_until = now  # all updates up to then are known here
+        self.complete_from = now  # no update received at or after this time was dropped, ns
+        self.complete_until = now  # all updates up to this time were received, ns
         self.last_contact_at = now
         self.pending_queries: OrderedDict[int, PendingQuery] = OrderedDict()
-        self.last_number = 0
+        self.last_query_number = 0
         self.queried_at = now
         self.unanswered_rounds = 0
 
     def record_contact(self, now: int) -> None:
-        """Note that the discovery service was heard: all that it sent until now is known."""
+        """Record a line of the discovery service: all updates that it sent until now were received."""
         self.last_contact_at = now
         self.complete_until = max(self.complete_until, now)
 
     def discovery_is_silent(self, now: int) -> bool:
-        """Return whether this front may have missed events."""
-        return now - self.last_contact_at > self.interval * SILENCE
+        """Return whether the discovery service is silent for so long that events may have been missed."""
+        return now - self.last_contact_at > self.interval * SILENCE_THRESHOLD
 
     def record(self, update: PeerUpdate, now: int) -> bool:
-        """Keep an update for peers that query; false if it was known."""
-        key = _key(update)
+        """Store an update for replies to peers; false if it is already stored."""
+        key = _update_key(update)
         if key in self.updates:
             return False
         self.updates[key] = RecordedUpdate(now, update)
-        while len(self.updates) > MAX_UPDATES or self._oldest_at() < now - self.retention:
+        while len(self.updates) > MAX_UPDATES or self._oldest_received_at() < now - self.retention:
             _, dropped = self.updates.popitem(last=False)
             self.complete_from = max(self.complete_from, dropped.received_at + 1)
         return True
 
     def retract(self, upstream_id: str) -> None:
-        """Drop that an upstream is leaving: the discovery service lists it again."""
+        """Discard the removal of an upstream that the discovery service lists again."""
         leaving = [
             key for key in self.updates if isinstance(key, LeavingKey) and key.upstream_id == upstream_id
         ]
@@ -127,17 +127,18 @@
             del self.updates[key]
 
     def next_queries(self, now: int) -> list[UpdateQuery]:
-        """Return the queries that are due, each for any one other peer."""
+        """Return the queries that are due; the caller sends each to a peer of its choice."""
         is_silent = self.discovery_is_silent(now)
         if now - self.queried_at < self.interval * self._query_interval(is_silent):
             return []
-        # One interval of margin: what others received early may have been sent late.
+        # The span begins one interval early, because an update can reach a peer before it would reach this
+        # front.
         since = (self.complete_until if is_silent else self.queried_at) - self.interval
         span_ms = min((now - since) // MILLISECOND_NS, MAX_SPAN_MS)
-        count = PEERS_PER_ROUND if is_silent and self.unanswered_rounds > 1 else 1
-        numbers = range(self.last_number + 1, self.last_number + 1 + count)
+        peer_count = PEERS_PER_ROUND if is_silent and self.unanswered_rounds > 1 else 1
+        numbers = range(self.last_query_number + 1, self.last_query_number + 1 + peer_count)
         self.queried_at = now
-        self.last_number = numbers[-1]
+        self.last_query_number = numbers[-1]
         self.unanswered_rounds = self.unanswered_rounds + 1 if is_silent else 0
         for number in numbers:
             self.pending_queries[number] = PendingQuery(now)
@@ -146,7 +147,10 @@
         return [UpdateQuery(number, span_ms) for number in numbers]
 
     def apply_reply(self, reply: UpdateReply, now: int) -> list[PeerUpdate]:
-        """Record the updates of a reply and return the new ones, oldest first; none without a query."""
+        """Store the updates of a reply and return the new ones, oldest first.
+
+        A reply that belongs to no pending query is ignored.
+        """
         query = self.pending_queries.get(reply.number)
         if query is None:
             return []
@@ -159,7 +163,7 @@
         return [update for update in reply.updates if self.record(update, now)]
 
     def answer(self, query: UpdateQuery, now: int) -> list[UpdateReply]:
-        """Return the reply to a peer: the updates received here within its span, in parts."""
+        """Return the parts of the reply to a peer: the updates received here within the span of its query."""
         since = now - query.span_ms * MILLISECOND_NS
         updates = [recorded.update for recorded in self.updates.values() if recorded.received_at >= since]
         age_ms = min(max(0, now - self.complete_until) // MILLISECOND_NS + 1, MAX_SPAN_MS)
@@ -171,12 +175,12 @@
             for position, part in enumerate(parts[-MAX_REPLY_PARTS:])
         ]
 
-    def _oldest_at(self) -> int:
+    def _oldest_received_at(self) -> int:
         return next(iter(self.updates.values())).received_at
 
     def _query_interval(self, is_silent: bool) -> float:
         if not is_silent:
             return ROUTINE_INTERVAL
-        if 0 < self.unanswered_rounds <= MAX_ROUNDS:
+        if 0 < self.unanswered_rounds <= MAX_FAST_ROUNDS:
             return RETRY_INTERVAL
         return FOLLOW_UP_INTERVAL
--- a/marbleglade/fleet/fleet_settings.py
+++ b/marbleglade/fleet/fleet_settings.py
@@ -1,4 +1,4 @@
-"""Reader of the fleet's settings: protobuf text format, validated completely before any of it is used."""
+"""Reads the fleet's settings from protobuf text format; an invalid file is rejected as a whole."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """Smallest and largest value of a key."""
+    """The smallest and the largest allowed value of a key."""
 
     key: str
     smallest: int
     largest: int
 
     def violation(self, value: int) -> str:
-        """Describe a value that is out of bounds; "" if it is within them."""
+        """Return an error message for a value that is out of bounds; "" for any other value."""
         if self.smallest <= value <= self.largest:
             return ""
-        return f"{self.key} is {value}, not {self.smallest} to {self.largest}"
+        return f"{self.key} is {value}, expected a value from {self.smallest} to {self.largest}"
 
 
 PROBE_INTERVAL_MS_BOUNDS = Bounds("beat_ms", 100, 10_000)
@@ -40,7 +40,7 @@
     """Settings shared by the members of a fleet.
 
     Attributes:
-        probe_interval_ms: Time between two probes that a front sends; the key `beat_ms`.
+        probe_interval_ms: Milliseconds between two probes that a front sends; the key `beat_ms`.
     """
 
     probe_interval_ms: int
@@ -50,7 +50,7 @@
     """Read the file at `path` into a message.
 
     Raises:
-        InvalidConfigurationError: The file is unreadable or invalid; the text has one line.
+        InvalidConfigurationError: The file is unreadable or invalid; the error message is one line.
     """
     try:
         parse_file(path, message, MAX_FILE_BYTES)
@@ -60,7 +60,7 @@
 
 
 def read(path: str) -> FleetSettings:
-    """Read the file at `path`, with defaults for absent keys.
+    """Read the fleet settings in the file at `path`, with defaults for absent keys.
 
     Raises:
         InvalidConfigurationError: The file is unreadable, or a value is out of bounds.
--- a/marbleglade/fleet/gossip_messages.py
+++ b/marbleglade/fleet/gossip_messages.py
@@ -10,7 +10,7 @@
 
 
 class MemberStatus(IntEnum):
-    """State of a member; the value is its code in a datagram and its precedence within an incarnation."""
+    """Status of a member; its value is its code in datagrams and its precedence within one incarnation."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -19,12 +19,12 @@
 
     @property
     def is_alive(self) -> bool:
-        """A suspected member counts as alive until its suspicion is confirmed."""
+        """Whether the member counts as alive; a suspected member does until its suspicion expires."""
         return self <= MemberStatus.SUSPECT
 
 
 class Precedence(NamedTuple):
-    """Which of two claims about a member counts: the one that compares greater, field by field."""
+    """Order of claims about one member; the greater one, compared field by field, overrides the other."""
 
     started_ms: int
     incarnation: int
@@ -36,11 +36,11 @@
     """Claim of one member about the status of another.
 
     Attributes:
-        number: The member it is about, by its position in the list of peers.
+        number: The number of the described member, which is its position in the list of peers.
         status: The claimed status.
-        started_ms: When that member's process started, in Unix milliseconds; 0 if unknown.
-        incarnation: How often that process has refuted a suspicion.
-        source: The member that made the claim.
+        started_ms: Start time of the described member's process, in Unix milliseconds; 0 if unknown.
+        incarnation: Number of suspicions that this process has refuted.
+        source: The number of the member that made the claim.
     """
 
     number: int
@@ -51,13 +51,13 @@
 
     @property
     def precedence(self) -> Precedence:
-        """The greater of two updates about one member overrides the other."""
+        """The precedence of this update over others about the same member."""
         return Precedence(self.started_ms, self.incarnation, self.status)
 
 
 @dataclass(slots=True)
 class Ping:
-    """Direct probe of `target`."""
+    """Direct probe of the member `target`."""
 
     sequence: int
     target: int
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class Ack:
-    """Acknowledgement of the ping, or of the ping request, with the same sequence number."""
+    """Acknowledgement of the ping or ping request that has the same sequence number."""
 
     sequence: int
     updates: list[MemberUpdate] = field(default_factory=list)
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class PingRequest:
-    """Request to probe `target` on behalf of the sender (SWIM's ping-req)."""
+    """Request to probe the member `target` on behalf of the sender (SWIM's ping-req)."""
 
     sequence: int
     target: int
@@ -89,8 +89,8 @@
     """A message to send.
 
     Attributes:
-        to: The receiving member's number, or one of the agent's special receivers.
-        message: A value that one of the datagram codecs encodes.
+        to: The receiving member's number, or one of the special receiver numbers in `agent`.
+        message: The message, for one of the datagram codecs.
     """
 
     to: int
--- a/marbleglade/fleet/leadership.py
+++ b/marbleglade/fleet/leadership.py
@@ -1,11 +1,12 @@
-"""Leadership: one front does a task for all, under a lease with a growing term.
+"""Leadership: one front performs a task for the whole fleet, under a lease with a growing term.
 
-The preferred holder is chosen by weighted rendezvous hashing over the members believed alive (Thaler,
-Ravishankar 1998). Two leaders at once do no harm: the later term counts, and a front that receives a later
-term steps down until that leader has been silent for a lease. A leader that is no longer the preferred holder
-by its own view steps down by itself.
+The preferred holder of a task is chosen by weighted rendezvous hashing over the members that are alive
+(Thaler, Ravishankar 1998). Two leaders at once do no harm: the later term overrides the earlier one, and a
+leader that receives a later term steps down until the later leader has been silent for a lease. A leader that
+is no longer the preferred holder by its own membership view also steps down.
 
-Free of I/O, clocks and randomness; times are nanoseconds of the caller's monotonic clock.
+This module does no I/O, reads no clock and has no randomness; times are nanoseconds of the caller's monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 
 from ..runtime.stable_hash import HASH_LIMIT, stable_hash
 
-LEASE_PERIODS = 3  # periods of silence after which a leader is replaced
-EXTRA_PROBERS = 8  # expected number of fronts that probe an open circuit
-VIEWS_PER_ROTATION = 8  # views after which other fronts probe it
-MAX_TERM_JUMP = 1 << 20  # a term that jumps further ahead than this is ignored
+LEASE_PERIODS = 3  # periods without a message of the leader after which another front takes over
+EXTRA_PROBERS = 8  # expected number of fronts that probe an open circuit beside the assigned prober
+VIEWS_PER_ROTATION = 8  # views after which other fronts become the extra probers
+MAX_TERM_JUMP = 1 << 20  # a term that exceeds the latest one by more than this is ignored as invalid
 NO_LEADER = -1
-# The task of extra half-open probes in the rendezvous hash, by upstream and rotation; the same at all fronts.
+# The rendezvous hash key of extra half-open probes, by upstream and rotation. All fronts need the same text.
 EXTRA_PROBE_TASK = b"try %d %d"
 
 
@@ -31,19 +32,20 @@
 
 @lru_cache(1 << 14)
 def rendezvous_draw(task: bytes, number: int) -> float:
-    """Hash a task and a member to a figure in (0, 1) that is the same at all fronts."""
+    """Hash a task and a member number to a fraction in (0, 1) that is the same at all fronts."""
     return (stable_hash(b"%d " % number + task) + 1) / (HASH_LIMIT + 1)
 
 
 def preferred_holder(
     task: bytes, members: Iterable[int], weight: Callable[[int], float] = _equal_weight
 ) -> int | None:
-    """Return the member that should hold a task; few tasks change hands when members come or go.
+    """Return the member that should hold a task; few tasks get another holder when members join or leave.
 
     Args:
         task: The task's name, which is hashed.
-        members: The candidates.
-        weight: Returns a member's weight, to which its probability is proportional; 0 leaves it out.
+        members: The numbers of the candidates.
+        weight: Returns a member's weight. The probability of a member is proportional to its weight, and a
+            member of weight 0 is excluded.
     """
     best_score = math.inf
     best = None
@@ -60,12 +62,12 @@
 def is_extra_prober(upstream: int, reporters: int, number: int, view_number: int) -> bool:
     """Return whether a front probes an open circuit beside its assigned prober.
 
-    Where very many fronts have the circuit open, each is asked only now and then for objects that this
-    upstream caches, so a single prober would find out late that it recovered. The extra probers rotate.
+    Where very many fronts have the circuit open, each front rarely receives requests for objects that this
+    upstream caches, so a single prober would detect its recovery late. The extra probers rotate.
 
     Args:
         upstream: The upstream's number.
-        reporters: Fronts that have the circuit open.
+        reporters: Number of fronts that have the circuit open.
         number: The front's number.
         view_number: The sequence number of the view.
     """
@@ -76,30 +78,30 @@
 
 
 class Leadership:
-    """One front's view of who leads a task.
+    """One front's state in the leadership of a task.
 
     Args:
         task: The task's name.
         own_number: The number of this front.
         period: Nanoseconds between two messages of the leader.
-        now: The present time.
+        now: The current time, ns.
     """
 
     def __init__(self, task: bytes, own_number: int, period: int, now: int) -> None:
         self.task = task
         self.own_number = own_number
         self.period = period
-        self.term = 0  # the latest one known
-        self.leader = NO_LEADER  # of that term
-        self.last_contact_at = now  # when that leader was last heard, ns
+        self.term = 0  # the latest term received or started
+        self.leader = NO_LEADER  # the leader of that term
+        self.last_contact_at = now  # time of the last message of that leader, ns
         self.is_leader = False
 
     def tick(self, is_preferred: bool, now: int) -> bool:
-        """Take over or step down as is due, and return whether this front leads.
+        """Take over or step down if necessary, and return whether this front leads.
 
         Args:
-            is_preferred: This front is the preferred holder by its own view.
-            now: The present time.
+            is_preferred: Whether this front is the preferred holder by its own membership view.
+            now: The current time, ns.
         """
         if self.is_leader:
             self.is_leader = is_preferred
@@ -112,7 +114,7 @@
         return self.is_leader
 
     def accept_leader(self, term: int, leader: int, now: int) -> bool:
-        """Receive a leader's message, and return whether it counts."""
+        """Process the term of a leader's message; false if the message must be ignored."""
         if (term, leader) < (self.term, self.leader) or term > self.term + MAX_TERM_JUMP:
             return False
         if leader != self.own_number:
--- a/marbleglade/fleet/load_view.py
+++ b/marbleglade/fleet/load_view.py
@@ -1,11 +1,12 @@
 """Load reports of fronts and the aggregated load view, which a leader or a control node computes from them.
 
-A report holds sums over the last few periods rather than differences, so one that is lost, duplicated or late
-does no harm: the latest of each front counts while it is fresh. The aggregation trims the most extreme
-figures and bounds the weight of each front, so that a front with wrong figures moves little.
+A report holds sums over the last few periods rather than differences, so a lost, duplicated or late report
+does no harm: the latest report of each front is used while it is fresh. The aggregation trims the most
+extreme throughputs and bounds the weight of each front, so that a front with wrong values changes the view
+little.
 
-Free of I/O, clocks and randomness; times are nanoseconds of the caller's monotonic clock, and milliseconds
-where they travel.
+This module does no I/O, reads no clock and has no randomness. Times are nanoseconds of the caller's monotonic
+clock, and milliseconds in messages.
 """
 
 from __future__ import annotations
@@ -19,22 +20,22 @@
 from ..runtime.units import MILLISECOND_NS
 from .leadership import preferred_holder
 
-NO_FRONT = 65535  # no front has this number
-UNKNOWN_AGE_MS = 65535  # the age where no load report arrived
-FRESH_PERIODS = 3  # for which a report or a view may be used
-WINDOW_PERIODS = 4  # covered by the sums in a report
-TRIM_DIVISOR = 16  # one front in 16 is trimmed at either end
-MAX_WEIGHT = 4  # times the median, for which a front counts at most
-MIN_SAMPLE = 3  # fronts below which no figure is bounded by the median
-MIN_TRIMMED_SAMPLE = 5  # fronts from which at least one is trimmed at either end
-MAX_OPEN_CIRCUITS = 8  # in a report or a view
+NO_FRONT = 65535  # stands for no front; no front has this number
+UNKNOWN_AGE_MS = 65535  # the age of a zone's load if no load report of the zone has arrived
+FRESH_PERIODS = 3  # periods for which a report or a view is used after its arrival
+WINDOW_PERIODS = 4  # periods covered by the sums in a report
+TRIM_DIVISOR = 16  # one front in 16 is trimmed at either end of the throughputs
+MAX_MEDIAN_RATIO = 4  # bound of a front's work on a link, in medians; the bound of its totals is twice this
+MIN_BOUNDED_SAMPLE = 3  # with fewer fronts, no value is bounded by the median
+MIN_TRIMMED_SAMPLE = 5  # with this many fronts or more, at least one is trimmed at either end
+MAX_OPEN_CIRCUITS = 8  # upstreams with an open circuit, in a report or a view
 MAX_RECOVERED = 6  # upstreams that recovered, in a report or a view
-MAX_LINKS = 9  # in a report or a view
-MAX_ZONE_LOADS = 6  # in a report or a view
+MAX_LINKS = 9  # links in a report or a view
+MAX_ZONE_LOADS = 6  # zones with their load, in a report or a view
 
-# Each names a task in the rendezvous hash that assigns it to one front: half-open probes, by the hash of the
+# Rendezvous hash keys, which assign each of these tasks to one front: half-open probes, by the hash of the
 # ejected upstream's name, and load probes, by zone. Another text would assign the tasks to other fronts, so
-# all that aggregate a view (leaders and control nodes) need the same.
+# all leaders and control nodes, which aggregate views, need the same texts.
 HALF_OPEN_PROBE_TASK = b"try %d"
 LOAD_PROBE_TASK = b"probe %d"
 
@@ -43,8 +44,8 @@
     """The transfers on a link.
 
     Attributes:
-        work_ms: Its transfer time at full throughput.
-        duration_ms: The time that it took.
+        work_ms: Milliseconds that the transfers would have taken at full throughput.
+        duration_ms: Milliseconds that they took.
     """
 
     work_ms: int
@@ -53,12 +54,12 @@
 
 @dataclass(slots=True)
 class ZoneLoad:
-    """The last load reported by the caches of a zone.
+    """The latest load reported by the caches of a zone.
 
     Attributes:
-        value: Their congestion.
-        age_ms: How old the figure was when this was sent; `UNKNOWN_AGE_MS` for none.
-        prober: In a view: the front that sends load probes there for all.
+        value: The congestion of these caches.
+        age_ms: Milliseconds from that report to the sending of this one; `UNKNOWN_AGE_MS` if there is none.
+        prober: In a view, the front that sends load probes in the zone on behalf of all fronts there.
     """
 
     value: float
@@ -68,7 +69,7 @@
 
 @dataclass(slots=True)
 class OpenCircuit:
-    """An upstream whose circuit is open: at how many fronts, and which of them sends the half-open probes."""
+    """An open circuit: the number of fronts where it is open, and the front that sends half-open probes."""
 
     reporters: int
     prober: int
@@ -76,19 +77,19 @@
 
 @dataclass(slots=True)
 class FrontReport:
-    """What one front observed over the last `WINDOW_PERIODS`.
+    """The load that one front observed over the last `WINDOW_PERIODS`.
 
     Attributes:
-        sequence: Grows with each report, also over restarts.
+        sequence: Sequence number, which grows with each report and also across restarts.
         zone: The zone of the front.
-        load_ms: Transfer time of the requested objects.
-        first_requests: Number of requests that are no retries of clients.
-        retry_cost: Cost of the retries; cheap ones count less than 1 each.
-        rejected: Requests that were rejected.
-        links: Work in milliseconds, by link.
-        zone_loads: By zone.
-        open_circuits: Upstreams whose circuit is open here, by the hash of their names.
-        recovered: Upstreams whose half-open probe lately succeeded here.
+        load_ms: Transfer time of the requested objects, in milliseconds.
+        first_requests: Number of requests that are not retries by clients.
+        retry_cost: Cost of the retries; a cheap retry counts less than 1.
+        rejected: Number of rejected requests.
+        links: The transfers, by link number.
+        zone_loads: The latest load, by zone.
+        open_circuits: Hashed names of the upstreams whose circuit is open at this front.
+        recovered: Hashed names of the upstreams where a half-open probe of this front recently succeeded.
     """
 
     sequence: int
@@ -105,7 +106,7 @@
 
 @dataclass(slots=True)
 class AggregatedView:
-    """The sum of many reports, by the leader of a term; fields as in `FrontReport`."""
+    """The aggregated load of many fronts, computed in a leader's term; other fields as in `FrontReport`."""
 
     term: int
     sequence: int
@@ -122,61 +123,64 @@
 
 @dataclass(slots=True)
 class ReceivedReport:
-    """The latest report of a front, and when it arrived."""
+    """The latest report of a front, and the time of its arrival, ns."""
 
     received_at: int
     report: FrontReport
 
 
 class SlidingSums:
-    """Sums of growing counters over the last `WINDOW_PERIODS`."""
+    """The growth of cumulative counters over the last `WINDOW_PERIODS`."""
 
     def __init__(self) -> None:
         self.previous: dict[Hashable, int] = {}
         self.increments: deque[dict[Hashable, int]] = deque(maxlen=WINDOW_PERIODS)
 
     def add_period(self, counters: dict[Hashable, int]) -> None:
-        """Add the counters' present values at the end of a period."""
+        """End a period, with the current values of the counters."""
         self.increments.append({name: self._increment(name, value) for name, value in counters.items()})
         self.previous = dict(counters)
 
     def sum(self, name: Hashable) -> int:
-        """Return by how much a counter has grown."""
+        """Return the growth of a counter within the window."""
         return sum(period.get(name, 0) for period in self.increments)
 
     def _increment(self, name: Hashable, value: int) -> int:
-        """A counter that went back counts from zero: its upstream was added anew."""
+        """Return the growth since the last period.
+
+        A counter that decreased has restarted from zero, because its upstream was removed and added again.
+        """
         previous = self.previous.get(name, 0)
         return value - previous if value >= previous else value
 
 
 class LoadAggregator:
-    """The latest report of each front, and the view computed from them.
+    """Stores the latest report of each front and computes the load view from them.
 
     Args:
         period: Nanoseconds between two reports of a front.
-        probed: Fronts send load probes; else the view has no zone loads.
-        max_zones: Zones whose load and links are in the view; 0: as many as fit a datagram.
+        load_probes_allowed: Whether fronts send load probes; if not, the view has no zone loads.
+        max_zones: Most zones whose load and links the view has; 0 for as many as fit a datagram.
     """
 
-    def __init__(self, period: int, probed: bool = False, max_zones: int = 0) -> None:
+    def __init__(self, period: int, load_probes_allowed: bool = False, max_zones: int = 0) -> None:
         self.period = period
-        self.probed = probed
+        self.load_probes_allowed = load_probes_allowed
         self.max_links = max_zones + 2 if max_zones else MAX_LINKS
         self.max_zone_loads = max_zones or MAX_ZONE_LOADS
         self.reports: dict[int, ReceivedReport] = {}  # by front
         self.sequence = 0
 
     def add_report(self, sender: int, report: FrontReport, now: int) -> bool:
-        """Keep a report; false if it is no later than the last of that front."""
-        known = self.reports.get(sender)
-        if known and report.sequence <= known.report.sequence and self._is_fresh(known, now):
+        """Store a report; false if it is not newer than the fresh report stored for that front."""
+        last = self.reports.get(sender)
+        if last and report.sequence <= last.report.sequence and self._is_fresh(last, now):
             return False
         self.reports[sender] = ReceivedReport(now, report)
         return True
 
     def aggregate(self, term: int, now: int) -> AggregatedView:
-        """Compute the view of all fresh reports."""
+        """Compute the view from all fresh reports, and discard the others."""
         self.reports = {
             sender: received for sender, received in self.reports.items() if self._is_fresh(received, now)
         }
@@ -196,7 +200,7 @@
             view.links[key] = trimmed_throughput(
                 [report.links[key] for report in reports if key in report.links]
             )
-        if self.probed:
+        if self.load_probes_allowed:
             view.zone_loads = self._latest_zone_loads(now)
         view.open_circuits = self._open_circuits()
         view.recovered = merge_recovered(report.recovered for report in reports)
@@ -206,7 +210,10 @@
         return now - received.received_at < FRESH_PERIODS * self.period
 
     def _open_circuits(self) -> dict[int, OpenCircuit]:
-        """Return the circuits open at most fronts; one of those that would use the upstream probes it."""
+        """Return the circuits that the most fronts have open.
+
+        The prober of a circuit is one of these fronts, because they would use the upstream.
+        """
         counts = Counter(
             upstream for received in self.reports.values() for upstream in set(received.report.open_circuits)
         )
@@ -221,7 +228,7 @@
         return circuits
 
     def _latest_zone_loads(self, now: int) -> dict[int, ZoneLoad]:
-        """Return the latest load of each zone, and one front there that probes it for all."""
+        """Return the latest load of each zone, with one front of the zone as its load prober."""
         fronts: dict[int, list[int]] = {}
         for sender, received in sorted(self.reports.items(), key=lambda item: item[0]):
             fronts.setdefault(received.report.zone, []).append(sender)
@@ -241,38 +248,38 @@
 
 def assign_circuit_prober(upstream: int, fronts: Iterable[int]) -> int:
     """Choose the front that sends half-open probes to an ejected upstream; `NO_FRONT` if there is none."""
-    return _assign(HALF_OPEN_PROBE_TASK % upstream, fronts)
+    return _assign_prober(HALF_OPEN_PROBE_TASK % upstream, fronts)
 
 
 def assign_load_prober(zone: int, fronts: Iterable[int]) -> int:
     """Choose the front that sends the load probes of a zone; `NO_FRONT` if there is none."""
-    return _assign(LOAD_PROBE_TASK % zone, fronts)
+    return _assign_prober(LOAD_PROBE_TASK % zone, fronts)
 
 
-def _assign(task: bytes, fronts: Iterable[int]) -> int:
+def _assign_prober(task: bytes, fronts: Iterable[int]) -> int:
     chosen = preferred_holder(task, sorted(fronts))
     return NO_FRONT if chosen is None else chosen
 
 
 def merge_recovered(lists: Iterable[list[int]]) -> list[int]:
-    """Merge lists of recovered upstreams, bounded as in a view."""
+    """Merge lists of recovered upstreams, and keep at most `MAX_RECOVERED`."""
     return sorted({upstream for upstreams in lists for upstream in upstreams})[:MAX_RECOVERED]
 
 
-def bounded_sum(figures: list[int]) -> int:
-    """Sum figures, none of which counts for more than a few times the median of those above zero."""
-    positive = [figure for figure in figures if figure > 0]
-    if len(positive) < MIN_SAMPLE:
+def bounded_sum(values: list[int]) -> int:
+    """Sum the positive values, each bounded to a multiple of their median."""
+    positive = [value for value in values if value > 0]
+    if len(positive) < MIN_BOUNDED_SAMPLE:
         return int(sum(positive))
-    bound = MAX_WEIGHT * 2 * median(positive)
-    return int(sum(min(figure, bound) for figure in positive))
+    bound = MAX_MEDIAN_RATIO * 2 * median(positive)
+    return int(sum(min(value, bound) for value in positive))
 
 
 def trimmed_throughput(samples: list[LinkWork]) -> LinkWork:
-    """Sum the work of all fronts but those with the most extreme throughput either way."""
+    """Sum the transfers of all fronts except those with the highest and the lowest throughput."""
     samples = [sample for sample in samples if sample.work_ms > 0]
-    if len(samples) >= MIN_SAMPLE:
-        bound = MAX_WEIGHT * median(sample.work_ms for sample in samples)
+    if len(samples) >= MIN_BOUNDED_SAMPLE:
+        bound = MAX_MEDIAN_RATIO * median(sample.work_ms for sample in samples)
         samples = [_bounded_work(sample, bound) for sample in samples]
     samples.sort(key=lambda sample: sample.duration_ms / sample.work_ms)
     trimmed = max(len(samples) // TRIM_DIVISOR, int(len(samples) >= MIN_TRIMMED_SAMPLE))
@@ -282,7 +289,7 @@
 
 
 def _bounded_work(sample: LinkWork, bound: float) -> LinkWork:
-    """Cut a sample down to a bound of its work, with its throughput kept."""
+    """Reduce a sample to a bound of its work, at the same throughput."""
     if sample.work_ms <= bound:
         return sample
     return LinkWork(int(bound), int(sample.duration_ms * bound / sample.work_ms))
--- a/marbleglade/fleet/load_view_aggregation.py
+++ b/marbleglade/fleet/load_view_aggregation.py
@@ -1,12 +1,13 @@
-"""The aggregated load view where control nodes compute it: a partial view of each node, and their sum.
+"""The aggregated load view as control nodes compute it: a partial view of each node, and their sum.
 
 Each front sends its load report to its primary control node. A node aggregates the reports of its own fronts
-to a partial view, nodes exchange these, and each merges them to the view with which it answers its own
-fronts. So no sender addresses the whole fleet and no leader is needed: a node that dies takes its partial
-view with it, and its fronts report to another one.
+into a partial view, the nodes exchange their partial views, and each node merges them into the view that it
+returns to its own fronts. So no sender addresses the whole fleet and no leader is needed. If a node dies, its
+partial view expires, and its fronts report to another node.
 
-Free of I/O, clocks and randomness; times are nanoseconds of the caller's monotonic clock. Fronts are numbered
-by their position in the control plane's settings, which all nodes and fronts share.
+This module does no I/O, reads no clock and has no randomness; times are nanoseconds of the caller's monotonic
+clock. The number of a front is its position in the control plane's settings, which are the same at all nodes
+and fronts.
 """
 
 from __future__ import annotations
@@ -30,15 +31,15 @@
     merge_recovered,
 )
 
-MAX_ZONES = 64  # in a partial view; a view for one front has that front's zone alone
-FILL_LINK_KEYS = FIRST_ZONE_LINK  # number of links that belong to no zone
-NODE_TERM = 1  # the term of all views that control nodes compute: none of them is elected
-MERGES_PER_PERIOD = 4
+MAX_ZONES = 64  # zones in a partial view; the view for a front has that front's zone only
+FILL_LINK_KEYS = FIRST_ZONE_LINK  # number of links that belong to no zone; they carry fills
+NODE_TERM = 1  # the term of all views that control nodes compute, because these nodes elect no leader
+MERGES_PER_PERIOD = 4  # most merges of the partial views at a node
 
 
 @dataclass(slots=True)
 class ReceivedPartialView:
-    """The latest partial view of another node, and when it arrived."""
+    """The latest partial view of another node, and the time of its arrival, ns."""
 
     view: AggregatedView
     received_at: int
@@ -46,14 +47,14 @@
 
 @dataclass(slots=True)
 class NodeLoadView:
-    """One control node's part in the load view.
+    """Computes the load view at one control node.
 
     Attributes:
         period: Nanoseconds between two reports of a front, and between two partial views of a node.
         aggregator: The reports of this node's own fronts.
-        partial_views: By node.
-        merged: The view of all fronts, computed several times per period.
-        merged_at: When it was computed, ns.
+        partial_views: The latest partial view of each other node, by the node's name.
+        merged: The view of all fronts, computed up to `MERGES_PER_PERIOD` times per period.
+        merged_at: Time at which `merged` was computed, ns.
     """
 
     period: int
@@ -63,38 +64,40 @@
     merged_at: int = 0
 
     def __post_init__(self) -> None:
-        self.aggregator = LoadAggregator(self.period, probed=True, max_zones=MAX_ZONES)
+        self.aggregator = LoadAggregator(self.period, load_probes_allowed=True, max_zones=MAX_ZONES)
 
     def add_report(self, front: int, report: FrontReport, now: int) -> bool:
-        """Keep a report of one of this node's own fronts; false if it is no later than its last."""
+        """Store a report of one of this node's own fronts; false if it is not newer than the stored one."""
         return self.aggregator.add_report(front, report, now)
 
     def add_partial_view(self, node: str, view: AggregatedView, now: int) -> bool:
-        """Keep another node's partial view; false if it is no later than its last, while that is fresh."""
-        known = self.partial_views.get(node)
-        if known and view.sequence <= known.view.sequence and self._is_fresh(known, now):
+        """Store another node's partial view; false if it is not newer than the fresh one stored for it."""
+        last = self.partial_views.get(node)
+        if last and view.sequence <= last.view.sequence and self._is_fresh(last, now):
             return False
         self.partial_views[node] = ReceivedPartialView(view, now)
         return True
 
     def partial_view(self, now: int) -> AggregatedView:
-        """Aggregate this node's own fronts, for the other nodes."""
+        """Compute the partial view of this node's own fronts."""
         return self.aggregator.aggregate(NODE_TERM, now)
 
     def view_for(self, zone: int, now: int) -> AggregatedView:
-        """Return the view of all fronts, as far as a front of that zone uses it."""
+        """Return the view of all fronts, restricted to the parts that a front of the zone uses."""
         if self.merged is None or now - self.merged_at >= self.period // MERGES_PER_PERIOD:
-            others = [known.view for known in self.partial_views.values() if self._is_fresh(known, now)]
+            others = [
+                received.view for received in self.partial_views.values() if self._is_fresh(received, now)
+            ]
             self.merged = merge([self.partial_view(now), *others])
             self.merged_at = now
         return restrict_to_zone(self.merged, zone)
 
-    def _is_fresh(self, known: ReceivedPartialView, now: int) -> bool:
-        return now - known.received_at < FRESH_PERIODS * self.period
+    def _is_fresh(self, received: ReceivedPartialView, now: int) -> bool:
+        return now - received.received_at < FRESH_PERIODS * self.period
 
 
 def merge(views: list[AggregatedView]) -> AggregatedView:
-    """Merge partial views, with the sequence number of the first."""
+    """Merge partial views; the result has the sequence number of the first one."""
     merged = AggregatedView(NODE_TERM, views[0].sequence)
     for view in views:
         merged.fronts = min(merged.fronts + view.fronts, NO_FRONT)
@@ -103,8 +106,8 @@
         merged.retry_cost += view.retry_cost
         merged.rejected += view.rejected
         for key, link in view.links.items():
-            known = merged.links.get(key, LinkWork(0, 0))
-            merged.links[key] = LinkWork(known.work_ms + link.work_ms, known.duration_ms + link.duration_ms)
+            total = merged.links.get(key, LinkWork(0, 0))
+            merged.links[key] = LinkWork(total.work_ms + link.work_ms, total.duration_ms + link.duration_ms)
     merged.zone_loads = _merge_zone_loads(views)
     merged.open_circuits = _merge_open_circuits(views)
     merged.recovered = merge_recovered(view.recovered for view in views)
@@ -112,7 +115,7 @@
 
 
 def _merge_zone_loads(views: list[AggregatedView]) -> dict[int, ZoneLoad]:
-    """Return the latest load of each zone, and one prober of those that the partial views name."""
+    """Return the latest load of each zone, with one prober chosen among those in the partial views."""
     loads: dict[int, ZoneLoad] = {}
     probers: dict[int, list[int]] = {}
     for view in views:
@@ -121,12 +124,12 @@
             if zone not in loads or load.age_ms < loads[zone].age_ms:
                 loads[zone] = replace(load)
     for zone, numbers in probers.items():
-        loads[zone].prober = assign_load_prober(zone, _assigned(numbers))
+        loads[zone].prober = assign_load_prober(zone, _assigned_probers(numbers))
     return loads
 
 
 def _merge_open_circuits(views: list[AggregatedView]) -> dict[int, OpenCircuit]:
-    """Return the circuits open at most fronts, and one prober of those that the partial views name."""
+    """Return the circuits that the most fronts have open, with one prober chosen among those in the views."""
     reporters: Counter[int] = Counter()
     probers: dict[int, list[int]] = {}
     for view in views:
@@ -134,17 +137,17 @@
             reporters[upstream] += circuit.reporters
             probers.setdefault(upstream, []).append(circuit.prober)
     return {
-        upstream: OpenCircuit(count, assign_circuit_prober(upstream, _assigned(probers[upstream])))
+        upstream: OpenCircuit(count, assign_circuit_prober(upstream, _assigned_probers(probers[upstream])))
         for upstream, count in reporters.most_common(MAX_OPEN_CIRCUITS)
     }
 
 
-def _assigned(numbers: list[int]) -> list[int]:
+def _assigned_probers(numbers: list[int]) -> list[int]:
     return [number for number in numbers if number != NO_FRONT]
 
 
 def restrict_to_zone(view: AggregatedView, zone: int) -> AggregatedView:
-    """Return the part of a view that fronts of a zone use: the links and load of that zone, and the fills."""
+    """Return a view with the links and the load of one zone only, and the links that belong to no zone."""
     keys = {*range(FIRST_ZONE_LINK), FIRST_ZONE_LINK + zone}
     links = {key: link for key, link in view.links.items() if key in keys}
     zone_loads = {zone: view.zone_loads[zone]} if zone in view.zone_loads else {}
--- a/marbleglade/fleet/membership.py
+++ b/marbleglade/fleet/membership.py
@@ -1,13 +1,14 @@
 """Membership of the fleet: which fronts are alive, by gossip with probes, suspicion and refutation.
 
-After SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey 2018): a
-front whose own probes fail waits longer before it suspects others, a suspected member is notified first, and
-a suspicion expires sooner the more members confirm it. Leaving on purpose is a status of its own, distinct
-from death. Members that left or died are still probed now and then, so that the halves of a fleet find each
-other again after a network partition.
-
-Free of I/O, clocks and unseeded randomness: times are integer nanoseconds of the caller's monotonic clock, a
-member's number is its position in the list of peers, and its start is in Unix milliseconds.
+The protocol is SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey
+2018): a front whose own probes fail waits longer before it suspects others, a suspected member is notified
+first, and a suspicion expires sooner the more members confirm it. A member that leaves intentionally has a
+status distinct from that of a dead member. Members that left or died are still probed, at a lower rate, so
+that the parts of a partitioned fleet merge again once the network recovers.
+
+This module does no I/O and reads no clock, and its randomness is seeded. Times are integer nanoseconds of the
+caller's monotonic clock, a member's number is its position in the list of peers, and its start time is in
+Unix milliseconds.
 """
 
 from __future__ import annotations
@@ -18,16 +19,16 @@
 from .member_table import MAX_LOCAL_HEALTH, MemberTable
 
 # Ratios to the probe interval.
-ACK_TIMEOUT = 1 / 3  # without a direct acknowledgement, after which other members are asked to probe
-PAUSE_THRESHOLD = 2  # between two ticks, from which on this process counts as paused meanwhile
+ACK_TIMEOUT = 1 / 3  # time without an acknowledgement after which indirect probes are requested
+PAUSE_THRESHOLD = 2  # a longer time between two ticks means that this process was paused
 
-INDIRECT_PROBES = 3  # members asked to probe; a leaving front notifies as many
-UNREACHABLE_PROBE_TURNS = 4  # every fourth probe is sent to a member that left or died
+INDIRECT_PROBES = 3  # members that receive a request to probe, or the notice of a leaving front
+PROBES_PER_UNREACHABLE_PROBE = 4  # every fourth probe goes to a member that left or died, if there is any
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeRequester:
-    """Member for which an indirect probe is made, and the sequence number of its request."""
+    """The member that requested an indirect probe, and the sequence number of its request."""
 
     member: int
     sequence: int
@@ -35,16 +36,16 @@
 
 @dataclass(slots=True)
 class Probe:
-    """A ping that waits for its acknowledgement."""
+    """A ping that has not been acknowledged yet."""
 
     target: int
     sent_at: int
-    is_indirect: bool = False  # other members were asked to probe too
-    requester: ProbeRequester | None = None  # where this probe is made for another member
+    is_indirect: bool = False  # whether indirect probes of the target were requested
+    requester: ProbeRequester | None = None  # set if another member requested this probe
 
 
 class Membership(MemberTable):
-    """One front's part in the protocol: it probes members and answers their messages."""
+    """The membership protocol of one front, which probes members and answers their messages."""
 
     def __init__(
         self, own_number: int, count: int, started_ms: int, probe_interval: int, now: int, seed: int
@@ -53,24 +54,24 @@
         self.last_sequence = 0
         self.probe_count = 0
         self.next_probe_at = now + int(probe_interval * self._random())
-        self.probes: dict[int, Probe] = {}  # by sequence number
-        self.probe_order: list[int] = []
+        self.probes: dict[int, Probe] = {}  # unacknowledged probes by sequence number
+        self.probe_order: list[int] = []  # members still to probe in this round, the next one last
 
     def leave(self, now: int) -> list[Outgoing[Gossip]]:
-        """Leave the fleet on purpose: notify a few members at once, and probe nobody any more."""
+        """Leave the fleet intentionally: notify a few members at once, and send no more probes."""
         self.is_leaving = True
         self.own_entry.status = MemberStatus.LEFT
         self.version += 1
-        self._enqueue(self.announce_self())
+        self._enqueue(self.own_update())
         return [self._ping(number, now) for number in self._sample(self.alive_peers(), INDIRECT_PROBES)]
 
     def rejoin(self) -> None:
-        """Cancel `leave`: announce this front as alive, in a new incarnation."""
+        """Undo `leave`: announce this front as alive, with a new incarnation."""
         self.is_leaving = False
         self.own_entry.status = MemberStatus.ALIVE
         self.own_entry.incarnation += 1
         self.version += 1
-        self._enqueue(self.announce_self())
+        self._enqueue(self.own_update())
 
     def tick(self, now: int) -> list[Outgoing[Gossip]]:
         """Run the timers and return the messages that are due; called several times per probe interval."""
@@ -88,7 +89,7 @@
         return outgoing
 
     def receive(self, sender: int, message: Gossip, now: int) -> list[Outgoing[Gossip]]:
-        """Apply the updates of a message and return the answers to it."""
+        """Apply the updates of a message and return the replies."""
         for update in message.updates:
             self.apply_update(update, now)
         if isinstance(message, Ping):
@@ -96,18 +97,18 @@
                 return []
             return [Outgoing(sender, Ack(message.sequence, self.updates_for(sender)))]
         if isinstance(message, PingRequest):
-            return self._probe_for(sender, message, now)
+            return self._probe_on_behalf(sender, message, now)
         return self._receive_ack(message)
 
     def _compensate_for_pause(self, paused: int) -> None:
-        """Void the running timers: what did not arrive during a pause says nothing about other members."""
+        """Discard probes and extend suspicions: messages missing in a pause are no sign of failed members."""
         self.probes.clear()
         self.local_health = MAX_LOCAL_HEALTH
         for member in self.members.values():
             member.suspicion_ends_at += paused
 
     def _check_probes(self, timeout: int, now: int) -> list[Outgoing[Gossip]]:
-        """Ask for indirect probes where an acknowledgement is late, and suspect targets after the timeout."""
+        """Request indirect probes where an acknowledgement is late, and suspect targets after the timeout."""
         outgoing: list[Outgoing[Gossip]] = []
         for sequence, probe in list(self.probes.items()):
             waited = now - probe.sent_at
@@ -131,23 +132,26 @@
         for number, entry in self.members.items():
             is_expired = entry.status is MemberStatus.SUSPECT and now >= entry.suspicion_ends_at
             if is_expired and number != self.own_number:
-                self._claim(number, MemberStatus.DEAD, now)
+                self._apply_observation(number, MemberStatus.DEAD, now)
 
     def _suspect(self, number: int, now: int) -> None:
         entry = self.members.get(number)
         if entry and entry.status.is_alive:
-            self._claim(number, MemberStatus.SUSPECT, now)
+            self._apply_observation(number, MemberStatus.SUSPECT, now)
 
-    def _claim(self, number: int, status: MemberStatus, now: int) -> None:
-        """Apply a status that this front observed itself."""
+    def _apply_observation(self, number: int, status: MemberStatus, now: int) -> None:
+        """Apply a status that this front has determined itself, for a probed or suspected member."""
         entry = self.members[number]
         update = MemberUpdate(number, status, entry.started_ms, entry.incarnation, self.own_number)
         self.apply_update(update, now)
 
     def _next_probe_target(self) -> int | None:
-        """Return the member to probe: alive ones in random order, every fourth time an unreachable one."""
+        """Return the next member to probe; None if there is none.
+
+        The alive members follow in random order; every fourth time it is an unreachable one.
+        """
         self.probe_count += 1
-        if self.probe_count % UNREACHABLE_PROBE_TURNS == 0:
+        if self.probe_count % PROBES_PER_UNREACHABLE_PROBE == 0:
             unreachable = [number for number, entry in self.members.items() if not entry.status.is_alive]
             if unreachable:
                 return unreachable[int(self._random() * len(unreachable))]
@@ -164,8 +168,8 @@
         self.probes[self.last_sequence] = Probe(target, now, requester=requester)
         return Outgoing(target, Ping(self.last_sequence, target, self.updates_for(target)))
 
-    def _probe_for(self, sender: int, request: PingRequest, now: int) -> list[Outgoing[Gossip]]:
-        """Probe a member on behalf of another; one at a time for each requester, which bounds the traffic."""
+    def _probe_on_behalf(self, sender: int, request: PingRequest, now: int) -> list[Outgoing[Gossip]]:
+        """Probe a member on behalf of another, one at a time per requester, which bounds the traffic."""
         is_known = request.target in self.members and request.target != self.own_number
         is_busy = any(probe.requester and probe.requester.member == sender for probe in self.probes.values())
         if not is_known or is_busy:
--- a/marbleglade/fleet/update_queue.py
+++ b/marbleglade/fleet/update_queue.py
@@ -1,4 +1,4 @@
-"""Member updates that wait to be piggybacked on probes and acknowledgements."""
+"""Queue of member updates to piggyback on probes and acknowledgements."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from .gossip_messages import MemberUpdate
 
-RETRANSMIT_FACTOR = 3  # transmissions of an update, per base-2 logarithm of the fleet's size
+RETRANSMIT_FACTOR = 3  # transmissions of an update per base-2 logarithm of the number of members plus one
 
 
 @dataclass(slots=True)
 class QueuedUpdate:
-    """An update and how often it is still to be sent."""
+    """An update and the number of times it is still to be sent."""
 
     transmissions_left: int
     update: MemberUpdate
 
 
 class UpdateQueue:
-    """Latest update about each member, each sent a bounded number of times."""
+    """The latest update about each member, which is sent a bounded number of times."""
 
     def __init__(self) -> None:
         self.entries: dict[int, QueuedUpdate] = {}  # by member number
@@ -28,7 +28,7 @@
         return number in self.entries
 
     def put(self, update: MemberUpdate, member_count: int) -> None:
-        """Queue an update; it replaces an earlier one about the same member."""
+        """Queue an update, which replaces an earlier one about the same member."""
         transmissions = math.ceil(RETRANSMIT_FACTOR * math.log2(member_count + 1))
         self.entries[update.number] = QueuedUpdate(transmissions, update)
 
@@ -45,7 +45,7 @@
 
         Args:
             limit: Most updates to return.
-            excluded: A member about which none is returned.
+            excluded: The number of a member whose update is not returned.
         """
         selected: list[MemberUpdate] = []
         for number, entry in sorted(self.entries.items(), key=lambda item: -item[1].transmissions_left):
--- a/tests/fleet/test_load_view.py
+++ b/tests/fleet/test_load_view.py
@@ -102,7 +102,7 @@
 
 
 def test_each_zone_and_each_open_circuit_has_one_assigned_prober():
-    aggregator = LoadAggregator(PERIOD_NS, probed=True)
+    aggregator = LoadAggregator(PERIOD_NS, load_probes_allowed=True)
     for number in range(30):
         zone = number % 3
         zone_loads = {zone: ZoneLoad(0.5 + number / 100, age_ms=number)} if number > 20 else {}
--- a/tests/fleet/test_load_view_aggregation.py
+++ b/tests/fleet/test_load_view_aggregation.py
@@ -51,7 +51,7 @@
 
 
 def test_all_nodes_compute_the_view_of_one_that_receives_all_reports():
-    aggregator = LoadAggregator(PERIOD_NS, probed=True, max_zones=MAX_ZONES)
+    aggregator = LoadAggregator(PERIOD_NS, load_probes_allowed=True, max_zones=MAX_ZONES)
     for front in range(730):
         aggregator.add_report(front, front_report(front), NOW)
     expected = aggregator.aggregate(1, NOW)
