--- a/marbleglade/fleet/anti_entropy.py
+++ b/marbleglade/fleet/anti_entropy.py
@@ -26,7 +26,7 @@
 )
 from ..runtime.units import MILLISECOND_NS
 
-MAX_UPDATES = 512  # kept at one front; beyond this number, the oldest update is dropped first
+MAX_STORED_UPDATES = 512  # kept at one front; beyond this number, the oldest update is dropped first
 MAX_PENDING_QUERIES = 8
 MAX_FAST_ROUNDS = 16  # unanswered rounds in a row after which the interval between rounds grows
 PEERS_PER_ROUND = 3  # peers queried in a round after two unanswered rounds; before that, one peer
@@ -113,7 +113,7 @@
         if key in self.updates:
             return False
         self.updates[key] = RecordedUpdate(now, update)
-        while len(self.updates) > MAX_UPDATES or self._oldest_received_at() < now - self.retention:
+        while len(self.updates) > MAX_STORED_UPDATES or self._oldest_received_at() < now - self.retention:
             _, dropped = self.updates.popitem(last=False)
             self.complete_from = max(self.complete_from, dropped.received_at + 1)
         return True
--- a/tests/fleet/conftest.py
+++ b/tests/fleet/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the fleet's tests."""
+"""Fixtures for tests of the fleet."""
 
 import pytest
 
@@ -7,6 +7,6 @@
 
 @pytest.fixture
 def start_fleet(tmp_path):
-    """Starts a fleet of processes under load; what no front may ever do is checked at its end."""
+    """Starts fleets of processes under load, and checks their invariants at the end."""
     with fleets_under_load(tmp_path) as start:
         yield start
--- a/tests/fleet/fleet_under_load.py
+++ b/tests/fleet/fleet_under_load.py
@@ -1,4 +1,4 @@
-"""A fleet of processes of the program, with a stream of requests at each front."""
+"""A fleet of front processes, with a stream of requests at each front."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -13,11 +13,11 @@
 
 FRONTS = 6
 REQUESTS_PER_SECOND = 12.0  # at each front
-SETTLE_SECONDS = 2.0  # until caches are filled, and all fronts know their members and a load view
+SETTLE_SECONDS = 2.0  # until caches are filled, and all fronts have their members and a load view
 
 
 class FleetUnderLoad(NamedTuple):
-    """The processes, and the load on them."""
+    """The processes of a fleet, and the load on them."""
 
     fleet: FrontFleet
     load: FleetLoad
@@ -28,7 +28,11 @@
 
 @contextmanager
 def fleets_under_load(folder: Path) -> Iterator[StartFleet]:
-    """Yield a function that starts a fleet; what no front may ever do is checked at the end."""
+    """Yield a function that starts a fleet under load.
+
+    At the end it checks that no response was lost, duplicated, stale or corrupted,
+    that clients and fronts report no faults, and that no cache or parent crashed.
+    """
     started: list[FleetUnderLoad] = []
 
     def start(
@@ -55,21 +59,21 @@
 
 
 def fleet_status(fleet: FrontFleet, number: int) -> dict[str, Any]:
-    """Return what a front reports of its fleet."""
+    """Have a front log its counters, and return the fleet status in them."""
     return fleet.counters_event(number)["fleet"]
 
 
 def fleet_statuses(fleet: FrontFleet) -> list[dict[str, Any]]:
-    """Return what each front reports of its fleet."""
+    """Have each front log its counters, and return the fleet statuses in them."""
     return [fleet_status(fleet, number) for number in range(fleet.count)]
 
 
 def leaders_of(fleet: FrontFleet) -> list[int]:
-    """Return the fronts that lead the computation of the load view, by their own belief."""
+    """Return the numbers of the fronts that compute the load view, by their own status."""
     statuses = fleet_statuses(fleet)
     return [number for number, status in enumerate(statuses) if status["leadership"]["is_leader"]]
 
 
 def requests_since(upstream: StandInUpstream, since: float) -> int:
-    """Return how many requests an upstream has received since a time of `time.monotonic`."""
+    """Return the number of requests that an upstream has received since a time of `time.monotonic`, s."""
     return sum(received_at > since for received_at in upstream.request_times)
--- a/tests/fleet/load_reports.py
+++ b/tests/fleet/load_reports.py
@@ -9,7 +9,7 @@
 
 
 def front_report(front: int, sequence: int = 1, **changes: Any) -> FrontReport:
-    """Return what one front reports, whose zone follows from its number."""
+    """Return a load report of a front, whose zone follows from its number; `changes` replace fields."""
     zone = front % ZONES
     report = FrontReport(
         sequence,
--- a/tests/fleet/simulated_fleet.py
+++ b/tests/fleet/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real fleet agents on simulated time, over a simulated network."""
+"""A fleet of the program's fleet agents on simulated time, connected by a simulated network."""
 
 from collections.abc import Callable, Iterable
 
@@ -12,25 +12,25 @@
 from tests.policy.policy_harness import PolicyHarness
 
 PROBE_INTERVAL_NS = 1000 * NS_PER_MS
-TICK_PERIOD_NS = 250 * NS_PER_MS  # of a front's periodic checks, `service.front_process.SWEEP_PERIOD_NS`
+TICK_PERIOD_NS = 250 * NS_PER_MS  # between the ticks of one front, as `service.front_process.SWEEP_PERIOD_NS`
 TICK_OFFSET_NS = 50 * NS_PER_MS  # between the ticks of one front and the next
 
 
 class SimulatedFleet:
-    """Fronts that are nothing but fleet agents; a test sets what each of them observes.
+    """Fronts that consist of a fleet agent only; a test sets the load observations of each.
 
     Args:
-        count: Fronts in the list of peers.
-        seed: Of the network's faults and the agents' random draws.
+        count: Number of fronts, all of which are in the list of peers.
+        seed: Seed of the network's faults and of the agents' random choices.
         probe_interval: Nanoseconds between two probes of a front.
         step: Nanoseconds by which the time advances; datagrams arrive at the end of a step.
 
     Attributes:
-        now: The present time.
-        network: Between the fronts.
-        agents: Of the running fronts, by number.
-        paused: Numbers of the fronts whose processes are stopped.
-        observations: What each front's policy observed, by number.
+        now: The current simulated time, ns.
+        network: The simulated network between the fronts.
+        agents: The agents of the running fronts, by number.
+        paused: Numbers of the fronts whose processes are stopped; they neither tick nor receive.
+        observations: The load observations of each front's policy, by number.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
             self.start(number)
 
     def start(self, number: int) -> None:
-        """Start a front that does not run; it has forgotten all that it knew before."""
+        """Start a front that is not running, without any state of an earlier run."""
         self._start_counts[number] = self._start_counts.get(number, 0) + 1
         started_ms = (self.now - START_NS) // NS_PER_MS + 1_000_000 + self._start_counts[number]
         self.agents[number] = FleetAgent(
@@ -68,7 +68,7 @@
         self.observations.setdefault(number, LoadObservations(0, 0, 0, 0, {}, [], []))
 
     def kill(self, *numbers: int) -> None:
-        """End these fronts without a word to the others."""
+        """End these fronts without a message to the others."""
         for number in numbers:
             del self.agents[number]
 
@@ -81,10 +81,10 @@
                     self.network.send(sender, receiver, data, self.now)
 
     def run(self, seconds: float, after_delivery: Callable[[], None] = lambda: None) -> None:
-        """Let time pass.
+        """Advance the simulated time.
 
         Args:
-            seconds: How much.
+            seconds: The duration.
             after_delivery: Called in each step, before the agents' ticks.
         """
         end = self.now + int(seconds * 1000) * NS_PER_MS
@@ -97,17 +97,17 @@
                 if is_due and number not in self.paused:
                     self.send(number, self._tick(number, agent))
 
-    def believed_gone(self) -> dict[int, set[int]]:
-        """Return the members that each running front does not believe alive."""
+    def members_not_alive(self) -> dict[int, set[int]]:
+        """Return the numbers of the members that are not alive, as each running front has them."""
         members = set(range(self.count))
         return {number: members - set(agent.membership.alive()) for number, agent in self.agents.items()}
 
-    def all_believed_alive(self) -> bool:
-        """Return whether each running front believes all members alive."""
-        return not any(self.believed_gone().values())
+    def all_members_alive(self) -> bool:
+        """Return whether all members are alive at each running front."""
+        return not any(self.members_not_alive().values())
 
     def leaders(self) -> list[int]:
-        """Return the fronts that lead the computation of the load view, by their own belief."""
+        """Return the numbers of the fronts that compute the load view, by their own state."""
         return [number for number, agent in self.agents.items() if agent.leadership.is_leader]
 
     def _tick(self, number: int, agent: FleetAgent) -> list[Outgoing[FleetMessage]]:
--- a/tests/fleet/test_anti_entropy.py
+++ b/tests/fleet/test_anti_entropy.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from marbleglade.fleet.anti_entropy import MAX_PENDING_QUERIES, MAX_UPDATES, AntiEntropy
+from marbleglade.fleet.anti_entropy import MAX_PENDING_QUERIES, MAX_STORED_UPDATES, AntiEntropy
 from marbleglade.fleet.seeded_random import seeded_fraction
 from marbleglade.model.peer_update import PeerUpdate, UpstreamLeaving
 from marbleglade.model.watch_event import Purge
@@ -30,14 +30,16 @@
     "silent_for_ms, unqueried_for_ms, is_due",
     [
         (0, 2000, False),
-        (0, 2600, True),  # now and then, without a reason
+        (0, 2600, True),  # a routine query
         (1200, 1200, False),
-        (1300, 1300, True),  # over an interval without a line
+        (1300, 1300, True),  # no line for over 1.25 intervals
         (9000, 200, False),
-        (9000, 300, True),  # soon, while unanswered
+        (9000, 300, True),  # a retry after a quarter of an interval
     ],
 )
-def test_queries_are_frequent_with_a_reason_and_rare_without(silent_for_ms, unqueried_for_ms, is_due):
+def test_queries_are_frequent_while_discovery_is_silent_and_rare_otherwise(
+    silent_for_ms, unqueried_for_ms, is_due
+):
     front = create_front(START_NS - 20_000 * NS_PER_MS)
     front.last_contact_at = START_NS - silent_for_ms * NS_PER_MS
     front.queried_at = START_NS - unqueried_for_ms * NS_PER_MS
@@ -54,7 +56,7 @@
     assert sorted(counts[-6:]) == [0] * 3 + [3] * 3
 
 
-def test_an_answered_front_queries_half_as_often_and_for_a_shorter_span():
+def test_after_a_reply_a_front_queries_half_as_often_and_for_a_shorter_span():
     front, peer = create_front(), create_front(START_NS - 9000 * NS_PER_MS)
     now = START_NS + 2000 * NS_PER_MS
     peer.record_contact(now)
@@ -65,7 +67,7 @@
     assert not front.next_queries(now + 400 * NS_PER_MS)
     (second,) = front.next_queries(now + 600 * NS_PER_MS)
     assert first.span_ms == 3000
-    assert second.span_ms < 1700  # since the reply was complete, and one interval
+    assert second.span_ms < 1700  # the time since which no reply was complete, and one interval of margin
 
 
 def test_a_reply_about_the_time_before_the_replier_started_is_incomplete():
@@ -80,7 +82,7 @@
     assert front.pending_queries
 
 
-def test_an_upstream_that_is_listed_again_is_retracted():
+def test_the_removal_of_an_upstream_that_is_listed_again_is_discarded():
     front = create_front()
     front.record(UpstreamLeaving(1, "s1", 5), START_NS)
     front.record(UpstreamLeaving(1, "s2", 5), START_NS)
@@ -98,11 +100,11 @@
 
 def test_updates_queries_and_replies_are_bounded():
     front = create_front()
-    for number in range(MAX_UPDATES * 2):
+    for number in range(MAX_STORED_UPDATES * 2):
         front.record(UpstreamLeaving(0, f"s-{number:08x}", number), START_NS + number)
     for number in range(MAX_PENDING_QUERIES * 2):
         assert front.next_queries(START_NS + (number + 2) * 3000 * NS_PER_MS)
-    assert len(front.updates) == MAX_UPDATES
+    assert len(front.updates) == MAX_STORED_UPDATES
     assert len(front.pending_queries) == MAX_PENDING_QUERIES
     replies = front.answer(UpdateQuery(1, 100_000), START_NS + 10_000 * NS_PER_MS)
     assert len(replies) == MAX_REPLY_PARTS
@@ -114,7 +116,7 @@
 
 @dataclass
 class Datagram:
-    """A query or a reply on its way."""
+    """A query or a reply in flight."""
 
     due_at: int
     sender: int
@@ -123,9 +125,9 @@
 
 
 class SimulatedFronts:
-    """Fronts of which the first few receive nothing from the discovery service.
+    """Fronts of which the first four receive nothing from the discovery service.
 
-    Datagrams are lost, doubled and late, as the seed says.
+    Datagrams are lost, duplicated and delayed; the seed determines which.
     """
 
     COUNT = 20
@@ -143,7 +145,7 @@
         self.tick = 0
         self.fronts = [create_front() for _ in range(self.COUNT)]
         self.in_flight: list[Datagram] = []
-        self.sent_at_tick: dict[int, PeerUpdate] = {}  # updates of the discovery service
+        self.sent_at_tick: dict[int, PeerUpdate] = {}  # updates sent by the discovery service, by tick
         self.datagram_count = 0
 
     @property
@@ -157,7 +159,7 @@
         self.sent_at_tick[self.tick] = update
 
     def run_tick(self) -> None:
-        """Run the fronts' timers, and deliver what has arrived."""
+        """Run the fronts' timers, and deliver the datagrams that are due."""
         if self.tick % self.TICKS_PER_LINE == 0:
             for number in self.INFORMED:
                 self.fronts[number].record_contact(self.now)
@@ -173,7 +175,7 @@
         self.tick += 1
 
     def missing_updates(self, age_ms: int) -> list[PeerUpdate]:
-        """Return updates of at least that age that some uninformed front lacks."""
+        """Return the updates of at least `age_ms` that some uninformed front has not received."""
         return [
             update
             for tick, update in self.sent_at_tick.items()
@@ -193,8 +195,8 @@
     def _deliver(self, datagram: Datagram, position: int) -> None:
         message = decode(encode(datagram.message))
         receiver = self.fronts[datagram.receiver]
-        is_doubled = self._draw("doubled", self.tick, position) < self.DUPLICATION_RATE
-        for _ in range(2 if is_doubled else 1):
+        is_duplicated = self._draw("doubled", self.tick, position) < self.DUPLICATION_RATE
+        for _ in range(2 if is_duplicated else 1):
             if isinstance(message, UpdateReply):
                 receiver.apply_reply(message, self.now)
                 continue
@@ -217,4 +219,4 @@
         simulation.run_tick()
         assert not simulation.missing_updates(age_ms=7000 + simulation.TICK_MS)
     seconds = 240 * simulation.TICK_MS / 1000
-    assert simulation.datagram_count < 4 * simulation.COUNT * seconds  # under four a second and front
+    assert simulation.datagram_count < 4 * simulation.COUNT * seconds  # fewer than four per second and front
--- a/tests/fleet/test_fleet_datagrams.py
+++ b/tests/fleet/test_fleet_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between fleet agents."""
+"""Encoding and decoding of the datagrams between fleet agents."""
 
 import pytest
 
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize("message", MESSAGES)
 def test_invalid_datagrams_are_ignored(message):
     data = fleet_datagrams.encode(message)
-    of_another_version = b"\2" + data[1:]
-    of_an_unknown_kind = data[:1] + b"\x63" + data[2:]
-    for invalid in (data[:-1], data + b"\0", of_another_version, of_an_unknown_kind, b"", data * 9):
+    other_version = b"\2" + data[1:]
+    unknown_kind = data[:1] + b"\x63" + data[2:]
+    for invalid in (data[:-1], data + b"\0", other_version, unknown_kind, b"", data * 9):
         assert fleet_datagrams.decode(invalid) is None
--- a/tests/fleet/test_fleet_processes.py
+++ b/tests/fleet/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""A fleet of processes of the program under load, with faults of datagrams, upstreams and fronts."""
+"""A fleet of front processes under load, with faults of datagrams, upstreams and fronts."""
 
 import signal
 import time
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("fault, value, no_fault", [("response_delay", 3.0, 0.0), ("fails_all", True, False)])
-def test_a_faulty_cache_is_left_to_probes_and_used_again_once_it_recovers(
+def test_a_faulty_cache_receives_only_probes_and_is_used_again_once_it_recovers(
     start_fleet, fault, value, no_fault
 ):
     fleet, load = start_fleet()
@@ -36,7 +36,7 @@
     gevent.sleep(3.5)
     since = time.monotonic()
     assert load.served_share(2.0) > 0.9
-    # Half-open probes and health checks alone, not this cache's share of 72 requests a second.
+    # The cache receives only half-open probes and health checks, not its share of 72 requests per second.
     assert requests_since(faulty, since) < 20
     setattr(faulty, fault, no_fault)
     gevent.sleep(3.0)
@@ -46,7 +46,7 @@
 
 
 def test_after_three_times_the_load_the_fleet_serves_as_before(start_fleet):
-    """No overload may persist once its cause is gone."""
+    """No overload may persist once its cause has ended."""
     fleet, load = start_fleet(origin_capacity=CapacityModel(6, overload_ratio=2.5, overload_seconds=0.5))
     share_before = load.served_share(1.0)
     load.set_rate_factor(3.0)
@@ -111,7 +111,7 @@
     fleet.signal(paused_leader, signal.SIGSTOP)
     gevent.sleep(4.0)
     fleet.signal(paused_leader, signal.SIGCONT)
-    cache = fleet.caches[2]  # restarts cold while two fronts may believe that they lead
+    cache = fleet.caches[2]  # restarts cold while two fronts may be leaders by their own state
     cache.restart()
     fleet.for_each_discovery_service(
         lambda service: service.announce([(cache, "box")], started_ms=cache.started_ms())
@@ -124,7 +124,7 @@
 
 
 def misleading_datagrams(number: int) -> list[bytes]:
-    """Return garbage, garbage behind a valid header, a report and a view with absurd figures."""
+    """Return random bytes, random bytes after a valid header, and a report and a view with invalid values."""
     garbage = bytes(
         int(hashed_fraction(number, "junk", position) * 256) for position in range(number % 255 + 1)
     )
@@ -152,7 +152,7 @@
     return [garbage, with_header, fleet_datagrams.encode(report), fleet_datagrams.encode(view)]
 
 
-def test_a_listed_peer_that_sends_garbage_and_wrong_figures_harms_no_request(start_fleet):
+def test_a_listed_peer_that_sends_garbage_and_wrong_values_harms_no_request(start_fleet):
     fleet, load = start_fleet()
 
     def send_misleading_datagrams() -> None:
@@ -176,7 +176,7 @@
     assert max(others) < 0.2
 
 
-def test_a_front_whose_discovery_service_is_silent_learns_of_a_drain_from_its_peers(start_fleet):
+def test_a_front_whose_discovery_service_is_silent_receives_a_drain_from_its_peers(start_fleet):
     fleet, load = start_fleet(cooperating=False)
     uninformed, informed = 3, 2
     cache = fleet.caches[0]
--- a/tests/fleet/test_leadership.py
+++ b/tests/fleet/test_leadership.py
@@ -1,4 +1,4 @@
-"""Leadership of a task, the preferred holder, and the extra probers of an open circuit."""
+"""Leadership of a task, the choice of the preferred holder, and the extra probers of an open circuit."""
 
 import pytest
 
@@ -38,7 +38,7 @@
 
 def test_the_later_term_wins_and_the_earlier_leader_waits_until_its_lease_expires():
     leadership = Leadership(b"views", 1, PERIOD_NS, START_NS)
-    assert not leadership.tick(True, START_NS)  # it listens for a lease first
+    assert not leadership.tick(True, START_NS)  # a new front first waits for a lease
     now = START_NS + (LEASE_PERIODS + 1) * PERIOD_NS
     assert leadership.tick(True, now)
     assert leadership.term == 1
@@ -49,7 +49,7 @@
     assert not leadership.tick(False, now + (LEASE_PERIODS + 2) * PERIOD_NS)
 
 
-@pytest.mark.parametrize("term", [4, 1 << 40], ids=["earlier", "further ahead than any fleet can have got"])
+@pytest.mark.parametrize("term", [4, 1 << 40], ids=["earlier", "too far ahead"])
 def test_a_term_that_is_outdated_or_impossible_is_ignored(term):
     leadership = Leadership(b"views", 1, PERIOD_NS, START_NS)
     assert leadership.accept_leader(5, 2, START_NS)
--- a/tests/fleet/test_leadership_states.py
+++ b/tests/fleet/test_leadership_states.py
@@ -1,4 +1,4 @@
-"""Leadership under a bounded exhaustive search: every order of messages, losses, restarts and waits."""
+"""Leadership under a bounded exhaustive search of all orders of messages, losses, restarts and waits."""
 
 from collections.abc import Callable, Hashable
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Term:
-    """A leader's message; also the latest term and leader that a front knows."""
+    """The term and the leader in a leader's message."""
 
     term: int
     leader: int
@@ -24,28 +24,28 @@
 
 @dataclass(frozen=True)
 class Tick:
-    """A front's timer runs; if it leads, its message can arrive anywhere from then on."""
+    """A front's timer runs; if the front leads, its message can arrive at any other front from then on."""
 
     front: int
 
 
 @dataclass(frozen=True)
 class Wait:
-    """Time passes."""
+    """Time passes by a number of periods."""
 
     periods: int
 
 
 @dataclass(frozen=True)
 class TogglePreference:
-    """A front changes its view of whether it is the preferred leader."""
+    """A front becomes the preferred holder by its own membership view, or ceases to be."""
 
     front: int
 
 
 @dataclass(frozen=True)
 class Receive:
-    """A message arrives; it may have arrived before, and may arrive again."""
+    """A message arrives at a front, for the first time or again."""
 
     front: int
     message: Term
@@ -53,25 +53,25 @@
 
 @dataclass(frozen=True)
 class Restart:
-    """A front has forgotten all that it knew."""
+    """Front `RESTARTING_FRONT` restarts without its former state."""
 
 
 class LeadershipModel:
     """Three fronts and one task.
 
-    Their views of who is alive differ at any time. Messages are lost, late, doubled and out of order.
+    The fronts' membership views may differ at any time. Messages may be lost, late, duplicated or reordered.
     """
 
     def __init__(self, moves_left: int) -> None:
         self.moves_left = moves_left
         self.now = LEASE_PERIODS * PERIOD + 1
         self.fronts = [Leadership(TASK, number, PERIOD, 0) for number in FRONTS]
-        self.is_preferred = [number == 0 for number in FRONTS]  # by the front's own view
+        self.is_preferred = [number == 0 for number in FRONTS]  # by the front's own membership view
         self.messages: set[Term] = set()
         self.latest_terms = [(0, NO_LEADER) for _ in FRONTS]
 
     def moves(self) -> list[object]:
-        """Return what may happen now."""
+        """Return the moves that are possible in this state."""
         if self.moves_left <= 0:
             return []
         moves: list[object] = [Tick(front) for front in FRONTS]
@@ -105,7 +105,7 @@
             self.latest_terms[number] = max(self.latest_terms[number], (front.term, front.leader))
 
     def key(self) -> Hashable:
-        """Return what tells this state from others; of a lease that has expired, not since when."""
+        """Return a key that identifies this state; all silences longer than a lease are equal in it."""
         longest_silence = LEASE_PERIODS * PERIOD + 1
         fronts = tuple(
             (
@@ -119,12 +119,12 @@
         return self.moves_left, tuple(self.is_preferred), frozenset(self.messages), fronts
 
     def violation(self) -> str:
-        """Return the invariant that is violated; empty: none."""
+        """Return a description of the violated invariant; "" if none is violated."""
         for number, front in enumerate(self.fronts):
             if (front.term, front.leader) < self.latest_terms[number]:
                 return "an earlier term replaced a later one"
             if front.is_leader and front.leader != number:
-                return "a front leads while it knows of another leader"
+                return "a front leads although another front is its latest known leader"
         return ""
 
 
--- a/tests/fleet/test_load_view.py
+++ b/tests/fleet/test_load_view.py
@@ -1,4 +1,4 @@
-"""The load view that a leader computes: its aggregation, how fresh it is under losses, and its traffic."""
+"""The load view that a leader computes: its aggregation, its freshness under datagram loss, its traffic."""
 
 import pytest
 
@@ -21,7 +21,7 @@
     "loss_rate, duplication_rate, max_delay_ms, least_fresh_share",
     [(0.1, 0, 38, 0.95), (0.3, 0.2, 400, 0.95), (0.6, 0.2, 1500, 0.5)],
 )
-def test_most_fronts_have_a_fresh_view_whatever_datagrams_are_lost(
+def test_most_fronts_have_a_fresh_view_despite_lost_datagrams(
     loss_rate, duplication_rate, max_delay_ms, least_fresh_share
 ):
     fleet = SimulatedFleet(20)
@@ -57,16 +57,16 @@
     assert sums.sum("n") == 25 - 12
 
 
-def test_a_counter_that_went_back_counts_from_zero():
-    """The upstream was added anew."""
+def test_a_counter_that_decreased_is_counted_from_zero():
+    """A counter restarts when its upstream is removed and added again."""
     sums = SlidingSums()
     for total in (10, 12, 15, 15, 19, 25, 4):
         sums.add_period({"n": total})
     assert sums.sum("n") == 25 - 15 + 4
 
 
-def aggregator_of(count: int) -> LoadAggregator:
-    """An aggregator with the same report of so many fronts."""
+def aggregator_with_reports(count: int) -> LoadAggregator:
+    """Return an aggregator that has the same report of `count` fronts."""
     aggregator = LoadAggregator(PERIOD_NS)
     report = FrontReport(
         1, load_ms=100, first_requests=10, retry_cost=1, links={0: LinkWork(work_ms=100, duration_ms=200)}
@@ -77,7 +77,7 @@
 
 
 def test_a_report_counts_once_and_while_it_is_fresh():
-    aggregator = aggregator_of(20)
+    aggregator = aggregator_with_reports(20)
     assert not aggregator.add_report(3, FrontReport(1, load_ms=900), START_NS)
     assert not aggregator.add_report(3, FrontReport(0), START_NS)
     view = aggregator.aggregate(7, START_NS)
@@ -85,8 +85,8 @@
     assert aggregator.aggregate(7, START_NS + 4 * PERIOD_NS).fronts == 0
 
 
-def test_wrong_figures_of_single_fronts_move_the_view_little():
-    aggregator = aggregator_of(20)
+def test_wrong_values_of_single_fronts_change_the_view_little():
+    aggregator = aggregator_with_reports(20)
     excessive = FrontReport(
         2, load_ms=MAX_U32, first_requests=MAX_U16, retry_cost=MAX_U16, links={0: LinkWork(MAX_U32, 1)}
     )
@@ -110,7 +110,7 @@
         aggregator.add_report(number, report, START_NS)
     view = aggregator.aggregate(1, START_NS)
     assert {zone: load.prober % 3 for zone, load in view.zone_loads.items()} == {0: 0, 1: 1, 2: 2}
-    assert (view.zone_loads[0].value, view.zone_loads[0].age_ms) == (0.71, 21)  # the youngest
+    assert (view.zone_loads[0].value, view.zone_loads[0].age_ms) == (0.71, 21)  # the latest report
     assert view.open_circuits[77].reporters == 15
     assert view.open_circuits[77].prober % 2
 
--- a/tests/fleet/test_load_view_aggregation.py
+++ b/tests/fleet/test_load_view_aggregation.py
@@ -1,4 +1,4 @@
-"""Load views that control nodes compute: partial views, their sum, and what a front makes of a view."""
+"""Load views that control nodes compute: partial views, their sum, and the use of a view at a front."""
 
 from dataclasses import replace
 
@@ -33,7 +33,7 @@
 
 
 def exchange_partial_views(nodes: dict[str, NodeLoadView], now: int) -> None:
-    """Have each node receive the partial views of all others, as lines."""
+    """Have each node receive the partial views of all other nodes as encoded lines."""
     for name, node in nodes.items():
         line = encode_partial_view(node.partial_view(now))
         for other in nodes.values():
@@ -42,7 +42,7 @@
 
 
 def nodes_with_reports(front_count: int, node_count: int = 8) -> dict[str, NodeLoadView]:
-    """Return nodes that have the reports of so many fronts, each node those of its own, and the views."""
+    """Return nodes that share the reports of `front_count` fronts and have exchanged their partial views."""
     nodes = {f"c{number}": NodeLoadView(PERIOD_NS) for number in range(node_count)}
     for front in range(front_count):
         nodes[f"c{front % node_count}"].add_report(front, front_report(front), NOW)
@@ -50,7 +50,7 @@
     return nodes
 
 
-def test_all_nodes_compute_the_view_of_one_that_receives_all_reports():
+def test_all_nodes_compute_the_view_of_an_aggregator_that_receives_all_reports():
     aggregator = LoadAggregator(PERIOD_NS, load_probes_allowed=True, max_zones=MAX_ZONES)
     for front in range(730):
         aggregator.add_report(front, front_report(front), NOW)
@@ -65,7 +65,7 @@
         assert view.first_requests == expected.first_requests
         assert set(view.links) == {0, 1, 2 + zone}
         assert view.zone_loads[zone].age_ms == expected.zone_loads[zone].age_ms
-        for key, link in view.links.items():  # of the work itself each node trims some fronts
+        for key, link in view.links.items():  # the work differs, as each node trims some of its fronts
             expected_link = expected.links[key]
             slowdown = expected_link.duration_ms / expected_link.work_ms
             assert link.duration_ms / link.work_ms == pytest.approx(slowdown)
@@ -99,7 +99,7 @@
     assert load_prober % ZONES == 3
 
 
-def test_a_dead_node_is_left_out_once_its_partial_view_expires():
+def test_a_dead_nodes_fronts_are_excluded_once_its_partial_view_expires():
     node = nodes_with_reports(16, node_count=2)["c0"]
     assert node.view_for(0, NOW).fronts == 16
     later = NOW + FRESH_PERIODS * PERIOD_NS
@@ -149,7 +149,7 @@
 
 
 @given(st.lists(partial_views, min_size=1, max_size=8))
-def test_whatever_nodes_report_a_front_can_be_sent_its_view(views):
+def test_any_merged_view_can_be_encoded_for_a_front(views):
     merged = merge(views)
     for zone in range(ZONES):
         assert fleet_datagrams.decode(fleet_datagrams.encode(restrict_to_zone(merged, zone))) is not None
@@ -193,7 +193,7 @@
     assert agent.fleet_view.is_load_prober
 
 
-def test_a_view_of_another_node_counts_though_its_sequence_number_is_smaller():
+def test_a_view_of_another_node_is_adopted_despite_a_smaller_sequence_number():
     agent = create_agent_with_control_nodes(700)
     view = AggregatedView(1, 1, fronts=50)
     agent.adopt_view(view, NOW + PERIOD_NS)
@@ -201,15 +201,15 @@
     assert agent.view.fronts == 40
 
 
-def test_no_fronts_traffic_grows_with_the_number_of_fronts():
-    """Agents on simulated time, encoded lines, eight nodes; each front has the view of all."""
-    figures = {
+def test_the_traffic_of_a_front_does_not_grow_with_the_number_of_fronts():
+    """Agents on simulated time exchange encoded lines with eight nodes; each front gets the view of all."""
+    measurements = {
         (point.name, point.at["fronts"]): point.value
         for size in (24, 96)
         for point in load_views.measure(size)
     }
     for direction in ("sent", "received"):
         name = f"fleet viewed by nodes front bytes {direction}"
-        assert 0 < figures[name, 96] < 1.2 * figures[name, 24]
+        assert 0 < measurements[name, 96] < 1.2 * measurements[name, 24]
         name = f"load view control machine bytes {direction}"
-        assert figures[name, 96] < 4 * figures[name, 24]
+        assert measurements[name, 96] < 4 * measurements[name, 24]
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: who is believed alive, under losses, partitions, pauses and restarts."""
+"""Membership under datagram loss, partitions, pauses and restarts of fronts."""
 
 import pytest
 
@@ -16,29 +16,32 @@
 
 
 def statuses_of(fleet: SimulatedFleet, number: int) -> set[MemberStatus]:
-    """What the running fronts, that one among them, believe of one member."""
+    """Return the statuses that the running fronts, including the member itself, have for one member."""
     return {agent.membership.members[number].status for agent in fleet.agents.values()}
 
 
 @pytest.mark.parametrize("loss_rate, count", [(0.0, 40), (0.1, 40), (0.3, 24)])
-def test_lost_datagrams_declare_no_member_dead_and_dead_members_are_detected(loss_rate, count):
+def test_no_running_member_is_declared_dead_despite_lost_datagrams_and_dead_ones_are_detected(
+    loss_rate, count
+):
     fleet = SimulatedFleet(count)
     fleet.network.loss_rate = loss_rate
     fleet.run(20)
-    # With 30 % lost, false suspicions may be on their way, to be refuted: of one pair in a hundred at most.
+    # With 30 % of the datagrams lost, some false declarations of death are not refuted yet, for at most one
+    # pair of members in a hundred.
     max_false_pairs = count * count // 100 if loss_rate > 0.2 else 0
-    assert sum(map(len, fleet.believed_gone().values())) <= max_false_pairs
+    assert sum(map(len, fleet.members_not_alive().values())) <= max_false_pairs
     fleet.kill(3, 7)
     fleet.run(25)
-    believed_gone = fleet.believed_gone().values()
-    assert all({3, 7} <= gone for gone in believed_gone)
-    assert sum(len(gone - {3, 7}) for gone in believed_gone) <= max_false_pairs
+    members_not_alive = fleet.members_not_alive().values()
+    assert all({3, 7} <= gone for gone in members_not_alive)
+    assert sum(len(gone - {3, 7}) for gone in members_not_alive) <= max_false_pairs
     fleet.start(3)
     fleet.run(25)
-    assert sum(len(gone ^ {7}) for gone in fleet.believed_gone().values()) <= max_false_pairs
+    assert sum(len(gone ^ {7}) for gone in fleet.members_not_alive().values()) <= max_false_pairs
 
 
-def test_leaving_is_distinct_from_death_and_can_be_taken_back():
+def test_a_member_that_leaves_is_not_declared_dead_and_can_rejoin():
     fleet = SimulatedFleet(12)
     fleet.run(3)
     fleet.send(5, fleet.agents[5].membership.leave(fleet.now))
@@ -55,13 +58,13 @@
     fleet.run(3)
     fleet.network.is_cut = lambda sender, receiver: sender % part_count != receiver % part_count
     fleet.run(30)
-    for number, gone in fleet.believed_gone().items():
+    for number, gone in fleet.members_not_alive().items():
         assert gone == {other for other in range(count) if other % part_count != number % part_count}
     assert {number % part_count for number in fleet.leaders()} == set(range(part_count))
     assert len(fleet.leaders()) == part_count
     fleet.network.is_cut = lambda _sender, _receiver: False
     fleet.run(30)
-    assert fleet.all_believed_alive()
+    assert fleet.all_members_alive()
     assert len(fleet.leaders()) == 1
 
 
@@ -76,29 +79,29 @@
         partition_and_merge(2)
 
 
-def test_a_front_that_receives_but_can_not_send_raises_its_local_health_multiplier_first():
+def test_a_front_that_receives_but_cannot_send_raises_its_local_health_multiplier_first():
     fleet = SimulatedFleet(20)
     fleet.run(3)
     fleet.network.is_cut = lambda sender, _receiver: sender == 4
     fleet.run(4)
     assert fleet.agents[4].membership.local_health > 1
-    assert len(fleet.believed_gone()[4]) < 3  # it waits longer before it suspects others
+    assert len(fleet.members_not_alive()[4]) < 3  # it waits longer before it suspects others
     fleet.network.is_cut = lambda _sender, _receiver: False
     fleet.run(20)
-    assert fleet.all_believed_alive()
+    assert fleet.all_members_alive()
 
 
-def test_a_leader_paused_for_seconds_returns_with_an_outdated_view_and_does_no_harm():
+def test_after_a_paused_leader_resumes_there_is_one_leader_and_no_term_is_earlier():
     fleet = SimulatedFleet(20)
     fleet.run(6)
     (paused_leader,) = fleet.leaders()
     fleet.paused = {paused_leader}
     fleet.run(15)
-    assert len(fleet.leaders()) == 2  # the paused front does not know yet that it was replaced
+    assert len(fleet.leaders()) == 2  # the paused front has not received its successor's term yet
     later_terms = [agent.leadership.term for number, agent in fleet.agents.items() if number != paused_leader]
     fleet.paused = set()
     fleet.run(15)
-    assert fleet.all_believed_alive()
+    assert fleet.all_members_alive()
     assert len(fleet.leaders()) == 1
     assert min(agent.leadership.term for agent in fleet.agents.values()) >= max(later_terms)
 
@@ -111,7 +114,7 @@
         fleet.run(0.3)
         fleet.start(number)
     fleet.run(8)
-    assert fleet.all_believed_alive()
+    assert fleet.all_members_alive()
     assert len(fleet.leaders()) == 1
     assert len({(agent.view.term, agent.leadership.leader) for agent in fleet.agents.values()}) == 1
 
@@ -121,10 +124,10 @@
     membership.apply_update(MemberUpdate(0, MemberStatus.DEAD, OWN_STARTED_MS, 0, 2), START_NS)
     assert membership.own_entry.status is MemberStatus.ALIVE
     assert membership.own_entry.incarnation == 1
-    # An update about an earlier start of this process.
+    # An update about an earlier start of this front is ignored.
     membership.apply_update(MemberUpdate(0, MemberStatus.DEAD, OWN_STARTED_MS - 100, 9, 2), START_NS)
     assert membership.own_entry.incarnation == 1
-    # A start too far ahead of the clock, and a member that is not listed.
+    # An update with a start too far ahead of the clock, or about a member that is not listed, is ignored.
     membership.apply_update(MemberUpdate(2, MemberStatus.ALIVE, 2**63, 0, 2), START_NS)
     membership.apply_update(MemberUpdate(99, MemberStatus.DEAD, 5, 0, 2), START_NS)
     assert membership.members[2].started_ms == 0
@@ -139,7 +142,7 @@
 
 
 def test_a_member_with_an_outdated_update_is_sent_the_newer_one():
-    """Without this, a restarted front may believe a member dead forever that it never heard."""
+    """Otherwise a restarted front may keep a member from which it received nothing as dead forever."""
     membership = create_membership(4)
     membership.update_queue.clear()
     membership.apply_update(MemberUpdate(0, MemberStatus.DEAD, 0, 0, 2), START_NS)
@@ -170,7 +173,7 @@
     assert [(answer.to, answer.message.sequence) for answer in answers] == [(3, 0)]
 
 
-def test_a_ping_meant_for_another_member_is_not_acknowledged():
+def test_a_ping_with_another_target_is_not_acknowledged():
     assert create_membership(9).receive(3, Ping(7, target=4), START_NS) == []
 
 
@@ -183,5 +186,5 @@
         if message:
             fleet.agents[number % 8].receive((number + 1) % 8, message, fleet.now)
     fleet.run(8)
-    assert fleet.all_believed_alive()
+    assert fleet.all_members_alive()
     assert len(fleet.leaders()) == 1
--- a/tests/fleet/test_quota.py
+++ b/tests/fleet/test_quota.py
@@ -1,4 +1,4 @@
-"""A front's shares of what the fleet may do."""
+"""A front's shares of the fleet's quotas."""
 
 import pytest
 
@@ -23,7 +23,9 @@
     "first_requests, retry_cost, expected",
     [(100, 0, 4), (100, 10, 2.0), (100, 20, 1.0), (100, 80, 0.25), (100, 500, 0.125), (0, 5, 1.0)],
 )
-def test_an_unused_retry_budget_is_lent_and_an_exceeded_one_is_cut(first_requests, retry_cost, expected):
+def test_the_retry_budget_factor_is_above_one_while_the_budget_is_unused_and_below_while_exceeded(
+    first_requests, retry_cost, expected
+):
     view = AggregatedView(1, 1, fronts=9, first_requests=first_requests, retry_cost=retry_cost)
     assert retry_budget_factor(view, RETRY_RATIO) == expected
 
@@ -33,17 +35,17 @@
     assert age_share(0.5, 0.1, age_periods * PERIOD_NS, PERIOD_NS) == pytest.approx(expected)
 
 
-def observe_in_all_fronts(fleet, **counts):
-    """Sets what the policy of each front has counted since the start."""
+def set_observations_of_all_fronts(fleet, **counts):
+    """Set fields of the load observations of each front, which are cumulative since its start."""
     for front, observations in fleet.observations.items():
         fleet.observations[front] = observations._replace(**counts)
 
 
-def test_a_partitioned_front_keeps_its_share_which_ages_towards_the_standalone_one():
+def test_the_shares_of_a_partitioned_front_age_towards_the_standalone_ones():
     fleet = SimulatedFleet(10)
-    observe_in_all_fronts(fleet, requested_work=10**9, first_requests=100, retry_cost=80)
+    set_observations_of_all_fronts(fleet, requested_work=10**9, first_requests=100, retry_cost=80)
     fleet.run(3)
-    observe_in_all_fronts(fleet, requested_work=2 * 10**9, first_requests=200, retry_cost=160)
+    set_observations_of_all_fronts(fleet, requested_work=2 * 10**9, first_requests=200, retry_cost=160)
     fleet.run(1.5)
     isolated = next(number for number in fleet.agents if number not in fleet.leaders())
     agent = fleet.agents[isolated]
