--- a/benchmarks/capacity/failures.py
+++ b/benchmarks/capacity/failures.py
@@ -36,7 +36,7 @@
 def suspicion_seconds(fronts: int) -> tuple[float, float]:
     """Return the least and most seconds for which a fleet agent suspects a member before it is dead."""
     size = PROBE * max(1.0, math.log10(fronts))
-    return size * member_table.MIN_SUSPICION, size * member_table.MAX_SUSPICION
+    return size * member_table.MIN_SUSPICION_RATIO, size * member_table.MAX_SUSPICION_RATIO
 
 
 def failures(recorded: Measurement, scale: ScaleRecord | None) -> list[Failure]:
--- a/benchmarks/capacity/fleet_agent.py
+++ b/benchmarks/capacity/fleet_agent.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from benchmarks.simulated_fleet.parameters import fleet_parameters
-from marbleglade.fleet.agent import EVERYONE, FleetAgent
+from marbleglade.fleet.agent import ALL_FRONTS, FleetAgent
 from marbleglade.fleet.gossip_messages import Outgoing
 from marbleglade.fleet.load_view import ZoneLoad
 from marbleglade.fleet.membership import Membership
@@ -98,7 +98,7 @@
         use = self.uses[sender]
         for one in out:
             data = fleet_datagrams.encode(one.message)
-            receivers = self.agents[sender].membership.alive_peers() if one.to == EVERYONE else (one.to,)
+            receivers = self.agents[sender].membership.alive_peers() if one.to == ALL_FRONTS else (one.to,)
             use.sent += len(receivers)
             use.sent_bytes += len(data) * len(receivers)
             for receiver in receivers:
--- a/benchmarks/simulated_fleet/simulation.py
+++ b/benchmarks/simulated_fleet/simulation.py
@@ -9,7 +9,7 @@
 import itertools
 from collections.abc import Callable, Iterable
 
-from marbleglade.fleet.agent import EVERYONE
+from marbleglade.fleet.agent import ALL_FRONTS
 from marbleglade.fleet.gossip_messages import Outgoing
 from marbleglade.fleet.messages import FleetMessage
 from marbleglade.model.attempt import Attempt, AttemptResult
@@ -125,7 +125,7 @@
         """Send messages of a front over the lossy network."""
         for message in messages:
             data = fleet_datagrams.encode(message.message)
-            receivers = range(self.count) if message.to == EVERYONE else (message.to,)
+            receivers = range(self.count) if message.to == ALL_FRONTS else (message.to,)
             for receiver in receivers:
                 if receiver != front.number:
                     self._network.send(front.number, receiver, data, self.now)
--- a/marbleglade/control/node/partial_view.py
+++ b/marbleglade/control/node/partial_view.py
@@ -19,7 +19,7 @@
     OpenCircuit,
     ZoneLoad,
 )
-from ...fleet.load_view_aggregation import FILL_LINK_KEYS, MAX_ZONES, NODE_TERM
+from ...fleet.load_view_aggregation import FILL_LINK_COUNT, MAX_ZONES, NODE_TERM
 from ..messages import InvalidLineError
 
 MAX_LINE_BYTES = 1 << 14
@@ -75,7 +75,7 @@
         view.rejected = _number(content["pushed"], MAX_TOTAL)
         view.links = {
             _number(link, MAX_LINK): LinkWork(_number(work_ms, MAX_TOTAL), _number(duration_ms, MAX_TOTAL))
-            for link, work_ms, duration_ms in _bounded_list(links, MAX_ZONES + FILL_LINK_KEYS)
+            for link, work_ms, duration_ms in _bounded_list(links, MAX_ZONES + FILL_LINK_COUNT)
         }
         view.zone_loads = {
             _number(zone, MAX_ZONE): ZoneLoad(
--- a/marbleglade/fleet/agent.py
+++ b/marbleglade/fleet/agent.py
@@ -43,7 +43,7 @@
 )
 
 VIEW_TASK = b"views"
-EVERYONE = -1  # the receiver number that stands for all fronts
+ALL_FRONTS = -1  # the receiver number that stands for all fronts
 CONTROL_NODE = -2  # the receiver number that stands for this front's control node
 REPORTS_PER_PROBE = 2  # load reports, or views, in each probe interval
 MAX_LISTED = 32  # numbers in the `not_alive` field of a status
@@ -126,7 +126,7 @@
             self.aggregator.add_report(self.own_number, report, now)
             view = self.aggregator.aggregate(self.leadership.term, now)
             self.adopt_view(view, now)
-            outgoing.append(Outgoing(EVERYONE, view))
+            outgoing.append(Outgoing(ALL_FRONTS, view))
         elif (receiver := self._report_receiver(now)) is not None:
             outgoing.append(Outgoing(receiver, report))
         return outgoing
--- a/marbleglade/fleet/agent_adapter.py
+++ b/marbleglade/fleet/agent_adapter.py
@@ -14,7 +14,7 @@
 from ..runtime import clock
 from ..runtime.units import MILLISECOND_NS, SECOND_NS
 from ..transport.peer_datagrams import Address, PeerSocket
-from .agent import CONTROL_NODE, EVERYONE, FleetAgent
+from .agent import ALL_FRONTS, CONTROL_NODE, FleetAgent
 from .gossip_messages import Outgoing
 from .load_view import AggregatedView, ZoneLoad
 from .messages import FleetMessage
@@ -122,7 +122,7 @@
         self._apply_view()
         return True
 
-    def peers_replaced(self) -> None:
+    def handle_new_peers(self) -> None:
         """Resize the membership to the new list of peers."""
         self.agent.membership.resize(len(self.peers.addresses))
 
@@ -165,7 +165,7 @@
         """Encode messages and send each to one member, to all members, or to the control node."""
         for item in outgoing:
             data = fleet_datagrams.encode(item.message)
-            if item.to == EVERYONE:
+            if item.to == ALL_FRONTS:
                 self._broadcast(data)
             elif item.to != CONTROL_NODE:
                 self._send_to_member(data, item.to)
--- a/marbleglade/fleet/load_view_aggregation.py
+++ b/marbleglade/fleet/load_view_aggregation.py
@@ -32,7 +32,7 @@
 )
 
 MAX_ZONES = 64  # zones in a partial view; the view for a front has that front's zone only
-FILL_LINK_KEYS = FIRST_ZONE_LINK  # number of links that belong to no zone; they carry fills
+FILL_LINK_COUNT = FIRST_ZONE_LINK  # number of links that belong to no zone; they carry fills
 NODE_TERM = 1  # the term of all views that control nodes compute, because these nodes elect no leader
 MERGES_PER_PERIOD = 4  # most merges of the partial views at a node
 
--- a/marbleglade/fleet/member_table.py
+++ b/marbleglade/fleet/member_table.py
@@ -18,13 +18,13 @@
 from .update_queue import UpdateQueue
 
 # Ratios to the probe interval.
-MIN_SUSPICION = 2  # the shortest suspicion, per decimal logarithm of the number of members
-MAX_SUSPICION = 6  # the longest suspicion, per decimal logarithm of the number of members
+MIN_SUSPICION_RATIO = 2  # the shortest suspicion, per decimal logarithm of the number of members
+MAX_SUSPICION_RATIO = 6  # the longest suspicion, per decimal logarithm of the number of members
 NEW_MEMBER_TIME = 16  # time after a change of a member for which messages to it include the state of others
 
 MAX_CONFIRMATIONS = 3  # confirmations with which a suspicion is the shortest
 MAX_LOCAL_HEALTH = 4  # worst value of the local health multiplier; 0 is the best
-MAX_UPDATES = 10  # member updates in one datagram
+MAX_UPDATES_PER_DATAGRAM = 10  # member updates in one datagram
 MAX_START_AHEAD_MS = 60_000  # an update with a start time further ahead of the clock than this is invalid
 
 
@@ -127,7 +127,7 @@
         if entry and entry.status in (MemberStatus.SUSPECT, MemberStatus.DEAD):
             updates.append(self._update_from_entry(receiver))
             excluded = receiver
-        updates += self.update_queue.take(MAX_UPDATES - len(updates), excluded)
+        updates += self.update_queue.take(MAX_UPDATES_PER_DATAGRAM - len(updates), excluded)
         if entry and self.last_tick_at - entry.changed_at < NEW_MEMBER_TIME * self.probe_interval:
             self._add_state_for_new_member(receiver, updates)
         return updates
@@ -200,14 +200,14 @@
         A recently started member has all listed members as alive, without their start times.
         """
         included = {update.number for update in updates} | {receiver}
-        if self.own_number not in included and len(updates) < MAX_UPDATES:
+        if self.own_number not in included and len(updates) < MAX_UPDATES_PER_DATAGRAM:
             updates.append(self.own_update())
             included.add(self.own_number)
         known = [
             number for number, entry in self.members.items() if entry.started_ms and number not in included
         ]
         unreachable = [number for number in known if not self.members[number].status.is_alive]
-        free = MAX_UPDATES - len(updates)
+        free = MAX_UPDATES_PER_DATAGRAM - len(updates)
         picked = self._sample(unreachable, free)
         picked += self._sample([number for number in known if number not in picked], free - len(picked))
         updates += [self._update_from_entry(number) for number in picked]
@@ -225,5 +225,8 @@
         """Return the duration of a suspicion with this number of confirmations, in nanoseconds."""
         shortening = math.log(confirmations + 1) / math.log(MAX_CONFIRMATIONS + 1)
         log_size = max(1.0, math.log10(max(1, len(self.members))))
-        ratio = max(MIN_SUSPICION, MAX_SUSPICION - (MAX_SUSPICION - MIN_SUSPICION) * shortening)
+        ratio = max(
+            MIN_SUSPICION_RATIO,
+            MAX_SUSPICION_RATIO - (MAX_SUSPICION_RATIO - MIN_SUSPICION_RATIO) * shortening,
+        )
         return int(self.probe_interval * log_size * ratio)
--- a/marbleglade/protocols/fleet_datagrams.py
+++ b/marbleglade/protocols/fleet_datagrams.py
@@ -22,7 +22,7 @@
     OpenCircuit,
     ZoneLoad,
 )
-from ..fleet.member_table import MAX_UPDATES
+from ..fleet.member_table import MAX_UPDATES_PER_DATAGRAM
 from ..fleet.messages import FleetMessage
 from .datagram_fields import (
     MAX_U16,
@@ -189,7 +189,9 @@
     target = reader.read(TARGET)[0] if kind != ACK else 0
     updates = [
         MemberUpdate(number, MemberStatus(status), started_ms, incarnation, source)
-        for number, status, started_ms, incarnation, source in reader.read_list(UPDATE, MAX_UPDATES + 1)
+        for number, status, started_ms, incarnation, source in reader.read_list(
+            UPDATE, MAX_UPDATES_PER_DATAGRAM + 1
+        )
     ]
     if kind == ACK:
         return Ack(sequence, updates)
--- a/marbleglade/transport/peer_datagrams.py
+++ b/marbleglade/transport/peer_datagrams.py
@@ -34,7 +34,7 @@
     def handle_datagram(self, data: bytes, sender: Address) -> bool:
         """Process a datagram that is no anti-entropy message; return False if its kind is unknown."""
 
-    def peers_replaced(self) -> None:
+    def handle_new_peers(self) -> None:
         """Update the agent after the list of peers was replaced."""
 
 
@@ -90,7 +90,7 @@
         self.member_numbers = {address: number for number, address in enumerate(peers)}
         self.others = [address for address in peers if address != self.listen]
         if self.fleet:
-            self.fleet.peers_replaced()
+            self.fleet.handle_new_peers()
 
     def record(self, update: PeerUpdate) -> None:
         """Record a removal or purge from the discovery service, for peers that query."""
--- a/tests/fleet/simulated_fleet.py
+++ b/tests/fleet/simulated_fleet.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Iterable
 
-from marbleglade.fleet.agent import EVERYONE, FleetAgent
+from marbleglade.fleet.agent import ALL_FRONTS, FleetAgent
 from marbleglade.fleet.gossip_messages import Outgoing
 from marbleglade.fleet.messages import FleetMessage
 from marbleglade.model.fleet_view import LoadObservations
@@ -76,7 +76,7 @@
         """Encode and send an agent's messages."""
         for item in outgoing:
             data = fleet_datagrams.encode(item.message)
-            for receiver in range(self.count) if item.to == EVERYONE else [item.to]:
+            for receiver in range(self.count) if item.to == ALL_FRONTS else [item.to]:
                 if receiver != sender:
                     self.network.send(sender, receiver, data, self.now)
 
