--- a/marbleglade/control/quorum/__init__.py
+++ b/marbleglade/control/quorum/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated register of configuration versions: replica, durable store and network."""
+"""A replicated register of configuration versions: the replica, its durable store and its network."""
--- a/marbleglade/control/quorum/acceptor.py
+++ b/marbleglade/control/quorum/acceptor.py
@@ -1,6 +1,7 @@
-"""The durable state of one replica: what it promised, accepted and knows as chosen.
+"""The Paxos acceptor of one replica: its promise, its last vote and the newest value that it learned.
 
-Each change is an effect to be written before those that follow it are executed. Free of I/O.
+Each change of this durable state is a `Persist` effect, which the driver completes before it executes the
+effects after it. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 
 
 class Acceptor:
-    """An acceptor of Paxos, and the effects that one call on the replica has collected so far.
+    """An acceptor of Paxos, which also collects the effects of the current call on the replica.
 
     Attributes:
-        state: The durable state, as of the last effect.
-        effects: What the driver has to execute, in order.
+        state: The durable state after all collected effects.
+        effects: The effects that the driver has to execute, in order.
     """
 
     def __init__(self, state: DurableState) -> None:
@@ -26,20 +27,20 @@
         self.effects: list[Effect] = []
 
     def reject_outdated(self, sender: str, ballot: Ballot) -> bool:
-        """Reject a message whose ballot is below the promised one; return whether it was."""
+        """Reject a message if its ballot is below the promised one; return whether it was rejected."""
         if ballot >= self.state.promised:
             return False
         self.send(sender, Reject(ballot, self.state.promised))
         return True
 
     def promise(self, sender: str, ballot: Ballot) -> None:
-        """Promise to accept nothing of a lower ballot. The ballot must not be outdated."""
+        """Promise to accept no value of a lower ballot. The ballot must not be below the promised one."""
         if ballot > self.state.promised:
             self.persist(replace(self.state, promised=ballot))
         self.send(sender, Promise(ballot, self.state.accepted))
 
     def accept(self, sender: str, ballot: Ballot, value: Value) -> None:
-        """Accept a value unless a later one is accepted. The ballot must not be outdated."""
+        """Accept a value unless a later one was accepted. The ballot must not be below the promised one."""
         vote = Vote(ballot, value)
         if vote.rank < self.state.accepted.rank:
             return
@@ -48,31 +49,31 @@
         self.send(sender, Accepted(ballot, value.version))
 
     def learn(self, value: Value) -> None:
-        """Record and publish a chosen value if it is newer than the known one."""
+        """Record and publish a chosen value if its version is newer than the recorded one."""
         if value.version > self.state.chosen.version:
             self.persist(replace(self.state, chosen=value))
             self.effects.append(Publish(value))
 
     def persist(self, state: DurableState) -> None:
-        """Adopt a state, and have it written."""
+        """Replace the state, and add the effect that makes it durable."""
         self.state = state
         self.effects.append(Persist(state))
 
     def send(self, recipient: str, message: Message) -> None:
-        """Send a message to one replica."""
+        """Add the effect that sends a message to one replica."""
         self.effects.append(Send(recipient, message))
 
     def broadcast(self, recipients: Iterable[str], message: Message) -> None:
-        """Send a message to several replicas."""
+        """Add the effects that send a message to several replicas."""
         for recipient in recipients:
             self.send(recipient, message)
 
     def resolve(self, key: int, outcome: ProposalOutcome) -> None:
-        """Answer the proposal with that key."""
+        """Add the effect that reports the outcome of the proposal with this key."""
         self.effects.append(Resolve(key, outcome))
 
     def drain_effects(self) -> list[Effect]:
-        """Return the effects collected so far, in their order, and start a new list."""
+        """Return the collected effects in their order, and start a new list."""
         effects = self.effects
         self.effects = []
         return effects
--- a/marbleglade/control/quorum/codec.py
+++ b/marbleglade/control/quorum/codec.py
@@ -1,7 +1,7 @@
-"""Quorum messages as JSON lines, `["Prepare",{...}]`, and the records of the store. Without I/O.
+"""Encodes quorum messages as JSON lines, `["Prepare",{...}]`, and the store's records as JSON. Does no I/O.
 
-The names of messages and fields on the wire and in the store are fixed by the tables here; types and
-attributes may be renamed without a change of either.
+`MESSAGE_NAMES` and `FIELD_KEYS` fix the names on the wire and in the store, so that renaming a type or an
+attribute changes neither format.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
 T = TypeVar("T")
 Json: TypeAlias = "str | int | list[Json] | dict[str, Json]"
 
-MAX_LINE_BYTES = 1 << 20  # a `StateReply` contains two documents, and JSON may double each
+MAX_LINE_BYTES = 1 << 20  # a `StateReply` contains two documents, and JSON escapes may double their size
 MIN_INTEGER = -1
 MAX_INTEGER = 1 << 62
 
-# The JSON keys of each type, by attribute, in the order in which they are written.
+# Maps the attributes of each type to their JSON keys, in the order in which they are written.
 FIELD_KEYS: dict[type, dict[str, str]] = {
-    Ballot: {"term": "term", "node": "node"},
+    Ballot: {"term": "term", "node_index": "node"},
     Value: {"version": "version", "proposal_id": "proposal", "text": "text"},
     Vote: {"ballot": "ballot", "value": "value"},
     FoundingMember: {"node": "node", "store_id": "store"},
@@ -91,11 +91,11 @@
     ProposalOutcomeUnknown: "ProposalUnknown",
     ProposalInvalid: "ProposalRefused",
 }
-MESSAGE_TYPES = {name: kind for kind, name in MESSAGE_NAMES.items()}
+MESSAGE_TYPES = {name: record_type for record_type, name in MESSAGE_NAMES.items()}
 
 
 class InvalidMessageError(Exception):
-    """A line is not a quorum message; its connection is closed."""
+    """A line is not a valid quorum message, or a record is not valid. The server closes the connection."""
 
 
 def encode(message: object) -> bytes:
@@ -106,16 +106,16 @@
 
 
 def decode(line: bytes | bytearray) -> object:
-    """Decode one line, checked field by field.
+    """Decode one line, and check every field.
 
     Raises:
-        InvalidMessageError: The line is not a quorum message.
+        InvalidMessageError: The line is not a valid quorum message.
     """
     try:
         name, content = orjson.loads(line)
         return _read_record(MESSAGE_TYPES[name], content)
     except (ValueError, KeyError, TypeError) as error:
-        raise InvalidMessageError(f"not a quorum message: {bytes(line[:80])!r}") from error
+        raise InvalidMessageError(f"not a valid quorum message: {bytes(line[:80])!r}") from error
 
 
 def to_json(record: object) -> dict[str, Json]:
@@ -131,44 +131,44 @@
         return [_attribute_to_json(item) for item in value]
     if isinstance(value, str | int):
         return value
-    raise TypeError(f"{type(value).__name__} is not an attribute of quorum messages")
+    raise TypeError(f"can't encode {type(value).__name__}: expected a record, tuple, string or integer")
 
 
-def from_json(kind: type[T], content: object) -> T:
+def from_json(record_type: type[T], content: object) -> T:
     """Convert decoded JSON to a record of one of the types in `FIELD_KEYS`.
 
     Raises:
-        InvalidMessageError: The content is not of that type.
+        InvalidMessageError: The content is not a valid record of this type.
     """
     try:
-        record = _read_record(kind, content)
+        record = _read_record(record_type, content)
     except (ValueError, KeyError, TypeError) as error:
-        raise InvalidMessageError(f"not a {kind.__name__}") from error
-    if not isinstance(record, kind):
-        raise InvalidMessageError(f"not a {kind.__name__}")
+        raise InvalidMessageError(f"not a valid {record_type.__name__}") from error
+    if not isinstance(record, record_type):
+        raise InvalidMessageError(f"not a valid {record_type.__name__}")
     return record
 
 
 @cache
-def _attribute_types(kind: type) -> dict[str, object]:
-    hints = get_type_hints(kind)
-    return {attribute: hints[attribute] for attribute in FIELD_KEYS[kind]}
+def _attribute_types(record_type: type) -> dict[str, object]:
+    hints = get_type_hints(record_type)
+    return {attribute: hints[attribute] for attribute in FIELD_KEYS[record_type]}
 
 
-def _read_record(kind: type, content: object) -> object:
-    """Check a JSON object against a type in `FIELD_KEYS`, and convert it. Raises ValueError."""
-    keys = FIELD_KEYS[kind]
+def _read_record(record_type: type, content: object) -> object:
+    """Check a JSON object against a type in `FIELD_KEYS`, and convert it. Raises ValueError if invalid."""
+    keys = FIELD_KEYS[record_type]
     if not isinstance(content, dict) or content.keys() != set(keys.values()):
-        raise ValueError("other fields")
-    types = _attribute_types(kind)
-    record: object = kind(
+        raise ValueError("not an object with exactly the expected keys")
+    types = _attribute_types(record_type)
+    record: object = record_type(
         **{attribute: _read_attribute(types[attribute], content[key]) for attribute, key in keys.items()}
     )
     return record
 
 
 def _read_attribute(annotation: object, content: object) -> object:
-    """Check decoded JSON against an attribute's type annotation, and convert it. Raises ValueError."""
+    """Check decoded JSON against a type annotation, and convert it. Raises ValueError if it is invalid."""
     if isinstance(annotation, type) and annotation in FIELD_KEYS:
         return _read_record(annotation, content)
     if get_origin(annotation) is tuple:
@@ -177,7 +177,7 @@
         item_type = get_args(annotation)[0]
         return tuple(_read_attribute(item_type, item) for item in content)
     if type(content) is not annotation:
-        raise ValueError("another type")
+        raise ValueError("not of the annotated type")
     if type(content) is int and not MIN_INTEGER <= content <= MAX_INTEGER:
-        raise ValueError("out of bounds")
+        raise ValueError("integer out of range")
     return content
--- a/marbleglade/control/quorum/effects.py
+++ b/marbleglade/control/quorum/effects.py
@@ -1,4 +1,4 @@
-"""Effects: what the driver of a replica has to execute, in the order in which they are returned."""
+"""The effects that a replica returns. Its driver executes them in the order of the list."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write a state durably before the effects that follow are executed."""
+    """Make a state durable before any later effect is executed."""
 
     state: DurableState
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message to the replica of that name. It may be lost, duplicated or reordered."""
+    """Send a message to the replica named `recipient`. It may be lost, duplicated or reordered."""
 
     recipient: str
     message: Message
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """Distribute a newly chosen version to the fronts."""
+    """Distribute a newly chosen configuration version to the fronts."""
 
     value: Value
 
 
 @dataclass(frozen=True, slots=True)
 class Resolve:
-    """Answer a proposal. `key` is the argument of `Replica.propose`."""
+    """Report the outcome of a proposal. `key` is the one passed to `Replica.propose`."""
 
     key: int
     outcome: ProposalOutcome
--- a/marbleglade/control/quorum/group.py
+++ b/marbleglade/control/quorum/group.py
@@ -1,19 +1,19 @@
-"""The group of replicas, seen from one of them."""
+"""The membership of the quorum, from the point of view of one replica."""
 
 from __future__ import annotations
 
 
 class Group:
-    """The members of the quorum.
+    """The members of the quorum, each with one replica.
 
     Args:
-        name: This node.
-        members: All nodes in the order of the settings, the same on every node.
+        name: The name of this node.
+        members: The names of all nodes in the order of the settings, which is the same on every node.
 
     Attributes:
-        others: All members but this node.
-        index: This node's position among the members.
-        majority: The number of members that must agree.
+        others: The names of all members except this node.
+        index: The position of this node in `members`.
+        majority: The number of members that form a majority.
     """
 
     def __init__(self, name: str, members: tuple[str, ...]) -> None:
--- a/marbleglade/control/quorum/leader.py
+++ b/marbleglade/control/quorum/leader.py
@@ -1,4 +1,4 @@
-"""Phase 2 of a leader: puts one proposal after the other to the vote. Free of I/O."""
+"""Phase 2 of Paxos on the leader: requests votes for one proposal at a time. Does no I/O."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 )
 from .state import Ballot, Value, Vote
 
-MAX_PENDING_PROPOSALS = 16  # that wait while another is put to the vote
+MAX_PENDING_PROPOSALS = 16  # excluding the proposal in the active round
 QUEUE_FULL = "too many proposals wait"
 NO_LEADER = "no majority of the control nodes answers"
 
 
 @dataclass(slots=True)
 class PendingProposal:
-    """A proposal that waits for the one before it, or for a majority."""
+    """A proposal without an outcome: queued behind other proposals, or in the active round."""
 
     key: int
     value: Value
@@ -33,11 +33,11 @@
 
 @dataclass(slots=True)
 class AcceptRound:
-    """The value that is being put to the vote.
+    """One round of phase 2: the leader asks the members to accept a value.
 
     Attributes:
-        proposal: None if the value is completed for an earlier leader.
-        acceptors: The members that accepted the value.
+        proposal: The proposal of the value; None if the leader completes a value of an earlier leader.
+        acceptors: The names of the members that accepted the value.
     """
 
     value: Value
@@ -46,12 +46,12 @@
 
 
 class Leader:
-    """The volatile state of a leader; idle while this replica does not lead.
+    """The volatile state of a leader; unused while the replica has another role.
 
     Attributes:
-        last_reply_at: When each follower last answered, in nanoseconds.
-        round: The vote in progress.
-        pending: The proposals that wait for it to end.
+        last_reply_at: The time of each follower's last reply, in nanoseconds.
+        active_round: The round in progress; None between rounds.
+        pending_proposals: The proposals queued for later rounds, in order of arrival.
     """
 
     def __init__(self, group: Group, acceptor: Acceptor) -> None:
@@ -59,40 +59,46 @@
         self.acceptor = acceptor
         self.ballot = Ballot()
         self.last_reply_at: dict[str, int] = {}
-        self.round: AcceptRound | None = None
-        self.pending: deque[PendingProposal] = deque()
+        self.active_round: AcceptRound | None = None
+        self.pending_proposals: deque[PendingProposal] = deque()
 
     def begin(self, ballot: Ballot, followers: Iterable[str], now: int) -> None:
-        """Begin to lead, with the followers that promised the ballot."""
+        """Begin leadership with a ballot that `followers` promised."""
         self.ballot = ballot
         self.last_reply_at = dict.fromkeys(followers, now)
 
     def step_down(self, successor: str) -> None:
-        """Answer all proposals as far as they are known. `successor` is the new leader, "" if unknown."""
-        if self.round and self.round.proposal:
-            self.acceptor.resolve(self.round.proposal.key, ProposalOutcomeUnknown())
-        for proposal in self.pending:
+        """Resolve all proposals: unknown outcome for the active one, rejection for the queued ones.
+
+        `successor` is the name of the new leader, "" if unknown.
+        """
+        if self.active_round and self.active_round.proposal:
+            self.acceptor.resolve(self.active_round.proposal.key, ProposalOutcomeUnknown())
+        for proposal in self.pending_proposals:
             self.acceptor.resolve(proposal.key, ProposalRejected(successor, NO_LEADER))
-        self.round = None
-        self.pending.clear()
+        self.active_round = None
+        self.pending_proposals.clear()
 
     def has_majority(self, oldest_reply: int) -> bool:
-        """Return whether this leader and the followers that answered after that time are a majority."""
+        """Return whether this node and the followers that replied after `oldest_reply` are a majority."""
         recent = sum(replied_at > oldest_reply for replied_at in self.last_reply_at.values())
         return recent + 1 >= self.group.majority
 
     def propose(self, proposal: PendingProposal) -> None:
-        """Put a proposal to the vote as soon as those before it are decided."""
-        if len(self.pending) >= MAX_PENDING_PROPOSALS:
+        """Queue a proposal; its round starts once all earlier proposals are decided."""
+        if len(self.pending_proposals) >= MAX_PENDING_PROPOSALS:
             self.acceptor.resolve(proposal.key, ProposalRejected("", QUEUE_FULL))
             return
-        self.pending.append(proposal)
+        self.pending_proposals.append(proposal)
         self.start_next_round()
 
     def start_next_round(self) -> None:
-        """Put the next pending proposal to the vote that is based on the chosen version."""
-        while self.pending and not self.round:
-            proposal = self.pending.popleft()
+        """Start a round for the next queued proposal based on the chosen version; resolve the others.
+
+        A proposal whose id is that of the chosen value is a retry, and is resolved as accepted.
+        """
+        while self.pending_proposals and not self.active_round:
+            proposal = self.pending_proposals.popleft()
             chosen = self.acceptor.state.chosen
             if proposal.value.version == chosen.version + 1:
                 self.start_round(AcceptRound(proposal.value, proposal))
@@ -102,8 +108,8 @@
                 self.acceptor.resolve(proposal.key, ProposalConflict(chosen.version))
 
     def start_round(self, accept_round: AcceptRound) -> None:
-        """Accept a value here, and request the others to accept it."""
-        self.round = accept_round
+        """Accept a value on this node, and request the other members to accept it."""
+        self.active_round = accept_round
         vote = Vote(self.ballot, accept_round.value)
         self.acceptor.persist(replace(self.acceptor.state, accepted=vote))
         accept_round.acceptors.add(self.group.name)
@@ -111,22 +117,22 @@
         self._finish_round_on_majority(accept_round)
 
     def resend_accept(self) -> None:
-        """Repeat the request to those members that did not accept the value yet."""
-        if not self.round:
+        """Repeat the `Accept` request to the members that did not accept the value yet."""
+        if not self.active_round:
             return
-        acceptors = self.round.acceptors
+        acceptors = self.active_round.acceptors
         missing = (member for member in self.group.others if member not in acceptors)
-        self.acceptor.broadcast(missing, Accept(self.ballot, self.round.value))
+        self.acceptor.broadcast(missing, Accept(self.ballot, self.active_round.value))
 
     def handle_accepted(self, sender: str, version: int, now: int) -> None:
-        """Count the acceptance of a value of this leader's ballot."""
+        """Record a follower's `Accepted` reply for this leader's ballot."""
         self.last_reply_at[sender] = now
-        if self.round and version == self.round.value.version:
-            self.round.acceptors.add(sender)
-            self._finish_round_on_majority(self.round)
+        if self.active_round and version == self.active_round.value.version:
+            self.active_round.acceptors.add(sender)
+            self._finish_round_on_majority(self.active_round)
 
     def handle_heartbeat_reply(self, sender: str, chosen_version: int, now: int) -> None:
-        """Record that a follower is alive, and bring it up to date."""
+        """Record that a follower is alive, and send it the chosen value if its version is older."""
         self.last_reply_at[sender] = now
         chosen = self.acceptor.state.chosen
         if chosen_version < chosen.version:
@@ -135,7 +141,7 @@
     def _finish_round_on_majority(self, accept_round: AcceptRound) -> None:
         if len(accept_round.acceptors) < self.group.majority:
             return
-        self.round = None
+        self.active_round = None
         self.acceptor.learn(accept_round.value)
         self.acceptor.broadcast(self.group.others, Chosen(accept_round.value))
         if accept_round.proposal:
--- a/marbleglade/control/quorum/learner.py
+++ b/marbleglade/control/quorum/learner.py
@@ -1,16 +1,16 @@
-"""The promotion of a learner, a replica with a new store, to a voter. Free of I/O.
-
-A replica that lost its store may have promised or accepted something that it forgot. It may vote again once
-it knows a state that is no older than the forgotten one. The replies of a majority are not enough for that:
-the candidate that has its promise may be outside that majority. But each candidate durably promises its own
-ballot, and each leader durably accepts its own value, before it sends it; so the highest promise and the
-highest vote among *all* other nodes, requested after the new store was created, bound what was forgotten. Two
-replicas that lost their stores at the same time wait for each other: they stay learners, and the others
-continue if they are a majority.
-
-The first listed node distinguishes the very first start from a lost store: once all nodes replied that their
-stores are new, it founds the group and records those stores by their ids. A new store that is on that record
-has forgotten nothing.
+"""The promotion of a learner, a replica with a new store, to a voter. Does no I/O.
+
+A replica that lost its store may have lost a promise or a vote with it. It may vote again only with a state
+that is no older than the lost one. Replies of a majority do not suffice: the candidate that received the
+lost promise may be outside that majority. But each candidate durably promises its own ballot, and each
+leader durably accepts its own value, before sending it. So the highest promise and the highest vote among
+*all* other nodes, requested after the new store was created, are no older than the lost ones. If two
+replicas lose their stores at the same time, each needs the other's state as a voter: both stay learners, and
+the other replicas continue if they are a majority.
+
+The first node in the settings tells the first start of the group from a lost store: once all nodes replied
+that their stores are new, it founds the group and records the ids of these stores as founders. A new store
+that is among the founders has lost nothing.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 def promoted_state(
     group: Group, own: DurableState, others: Mapping[str, DurableState]
 ) -> DurableState | None:
-    """Return the state with which a learner becomes a voter; None while it must not.
+    """Return the state with which a learner becomes a voter; None while it must stay a learner.
 
     Args:
-        group: The members, seen from the learner.
-        own: The state in its store.
-        others: The states that the others replied with, requested after the store was created.
+        group: The members, from the learner's point of view.
+        own: The state in the learner's store.
+        others: The states of other members by name, requested after the learner's store was created.
     """
     voters = [state for state in others.values() if state.voter]
     founders = next((state.founders for state in voters), ())
@@ -57,32 +57,36 @@
 
 
 class Learner:
-    """Collects the other replicas' states until this one may vote."""
+    """Collects the states of the other replicas until this replica may vote.
+
+    Attributes:
+        member_states: The last state that each other member replied with.
+    """
 
     def __init__(self, group: Group, acceptor: Acceptor) -> None:
         self.group = group
         self.acceptor = acceptor
-        self.states: dict[str, DurableState] = {}
+        self.member_states: dict[str, DurableState] = {}
 
     def members_to_query(self) -> list[str]:
-        """Return the members to request it from: those that did not reply yet, or replied as learners."""
+        """Return the members whose state is still needed: no reply yet, or a reply as a learner."""
         return [member for member in self.group.others if not self._is_known_voter(member)]
 
     def handle_state_reply(self, sender: str, reply: StateReply) -> None:
-        """Record a reply; one to the request of an earlier store of this node is dropped."""
+        """Record a reply, unless it answers a request from an earlier store of this node."""
         own = self.acceptor.state
         if not own.voter and reply.requester_store_id == own.store_id:
-            self.states[sender] = reply.state
+            self.member_states[sender] = reply.state
             self.acceptor.learn(reply.state.chosen)
 
     def promote(self) -> bool:
-        """Make the replica a voter if it may be one; return whether it is one now."""
-        state = promoted_state(self.group, self.acceptor.state, self.states)
+        """Make the replica a voter if the collected states allow it; return whether it became one."""
+        state = promoted_state(self.group, self.acceptor.state, self.member_states)
         if state is None:
             return False
         self.acceptor.persist(state)
-        self.states.clear()
+        self.member_states.clear()
         return True
 
     def _is_known_voter(self, member: str) -> bool:
-        return member in self.states and self.states[member].voter
+        return member in self.member_states and self.member_states[member].voter
--- a/marbleglade/control/quorum/messages.py
+++ b/marbleglade/control/quorum/messages.py
@@ -1,4 +1,4 @@
-"""Messages between replicas, and between an operator and a node. `codec.py` has their form on the wire."""
+"""Messages between replicas, and between an operator and a node. `codec.py` defines their wire format."""
 
 from __future__ import annotations
 
@@ -9,14 +9,23 @@
 
 @dataclass(frozen=True, slots=True)
 class StateRequest:
-    """A learner's request for the durable state of another replica. `store_id` is that of its own store."""
+    """A learner's request for the durable state of another replica.
+
+    Attributes:
+        store_id: The id of the learner's own store.
+    """
 
     store_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class StateReply:
-    """The answer to a `StateRequest`. `requester_store_id` repeats the request's store."""
+    """The answer to a `StateRequest`.
+
+    Attributes:
+        requester_store_id: The `store_id` of the request.
+        state: The durable state of the replying replica.
+    """
 
     requester_store_id: str
     state: DurableState
@@ -24,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Phase 1: a candidate's request for the promise to accept nothing of a lower ballot."""
+    """Phase 1: a candidate requests the promise to accept no value of a lower ballot."""
 
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """The promise, with the acceptor's last vote."""
+    """The reply to `Prepare`: the promise, with the acceptor's last vote."""
 
     ballot: Ballot
     accepted: Vote
@@ -39,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """A higher ballot than that of a message is promised already."""
+    """The reply to a message with an outdated ballot: the higher ballot `promised` was promised."""
 
     ballot: Ballot
     promised: Ballot
@@ -47,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Phase 2: the leader's request to accept a value."""
+    """Phase 2: the leader requests acceptance of a value."""
 
     ballot: Ballot
     value: Value
@@ -55,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The value of that version and ballot is accepted durably."""
+    """The reply to `Accept`: the vote for this ballot and version is durable."""
 
     ballot: Ballot
     version: int
@@ -63,14 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """The leader is alive."""
+    """The periodic message of a live leader to its followers."""
 
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """The sender follows the leader, and knows this version as chosen."""
+    """The reply of a follower, with the newest version that it learned as chosen."""
 
     ballot: Ballot
     chosen_version: int
@@ -78,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """A majority accepted this value; it is final."""
+    """A value that a majority accepted, which makes it final."""
 
     value: Value
 
@@ -99,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaHello:
-    """The first line of a node on a connection to another one."""
+    """The first line that a node sends on a connection to another node."""
 
     deployment: str
     node: str
@@ -107,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalRequest:
-    """An operator proposes a document. `proposal_id` is random, and the same on each retry."""
+    """An operator's proposal of a document. `proposal_id` is random, and the same on each retry."""
 
     proposal_id: str
     text: str
@@ -115,21 +124,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalAccepted:
-    """The proposal became this version, and a majority of the nodes stores it."""
+    """The proposal was chosen as this version: a majority of the nodes stored it."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProposalConflict:
-    """Another proposal for the same base version won; `version` is in force."""
+    """Another proposal was chosen for the same base version; `version` is the newest chosen one."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProposalRejected:
-    """The node did nothing with the proposal. `leader` names the node to send it to, "" if none is known."""
+    """The node discarded the proposal.
+
+    Attributes:
+        leader: The name of the node to send the proposal to; "" if no leader is known.
+        reason: Why the node discarded the proposal.
+    """
 
     leader: str
     reason: str
@@ -137,12 +151,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalOutcomeUnknown:
-    """The leader lost its leadership before a majority answered: the proposal may still be accepted."""
+    """The node can't tell the outcome, e.g. after it lost leadership: the proposal may still be accepted."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProposalInvalid:
-    """The document is not valid; `errors` has one line for each reason."""
+    """The proposed document is not valid; `errors` has one line for each error."""
 
     errors: tuple[str, ...]
 
--- a/marbleglade/control/quorum/replica.py
+++ b/marbleglade/control/quorum/replica.py
@@ -1,20 +1,21 @@
-"""A replicated register of configuration versions on a few nodes, accepted by a majority of them.
+"""One replica of a register of configuration versions; a version is chosen once a majority accepted it.
 
 The algorithm is CASPaxos (D. Rystsov, 2018: a register that is rewritten by compare-and-set on Paxos), with
 the stable leader of Multi-Paxos: one phase 1 serves all later writes of a leader. There is no log: an
-acceptor stores the last value only. The value carries a version; a proposal names the version it replaces,
-and the leader refuses it if another came first. A leader puts a version to the vote only once the version
-before it is chosen, so votes are ordered by ballot, then version.
+acceptor stores the last value only. Each value carries a version. A proposal names the version that it
+replaces, and the leader rejects it if another proposal replaced that version first. A leader starts the round
+of a version only once the previous version is chosen, so votes are ordered by ballot, then version.
 
-Durable before it is sent, since each `Persist` effect precedes the effects that depend on it: a candidate's
-ballot before `Prepare`, a promise before `Promise`, the leader's own vote before `Accept`, a vote before
-`Accepted`, and the chosen value before `Chosen`, its publication to fronts and the proposer's outcome.
+Each `Persist` effect precedes the effects that depend on it. So a candidate's ballot is durable before
+`Prepare` is sent, a promise before `Promise`, the leader's own vote before `Accept`, and a vote before
+`Accepted`. A chosen value is durable before `Chosen` is sent, before it is published to fronts and before the
+proposer gets the outcome.
 
-A replica whose store is new is a learner (`learner.py`): it receives and serves what is chosen, and votes on
-nothing until its state is no older than what it may have forgotten.
+A replica with a new store is a learner (`learner.py`): it receives and serves chosen values, but does not
+vote until its state is no older than the state that it may have lost.
 
-Free of I/O, clocks and randomness. Each call returns the effects to be executed, in their order. Times are
-nanoseconds.
+The module does no I/O and uses no clock and no randomness. Each call returns the effects to execute, in
+order. All times are nanoseconds.
 """
 
 from __future__ import annotations
@@ -43,13 +44,13 @@
 )
 from .state import Ballot, DurableState, Value, Vote
 
-ELECTION_TIMEOUT_HEARTBEATS = 4  # without a message of the leader until the first node starts an election
-ELECTION_STAGGER_HEARTBEATS = 2  # later for each further node, so that two candidates rarely compete
+ELECTION_TIMEOUT_HEARTBEATS = 4  # heartbeat intervals without a leader before the first node's election
+ELECTION_STAGGER_HEARTBEATS = 2  # added for each further node, so that two candidates rarely compete
 NOT_LEADER = "another node leads"
 
 
 class Role(Enum):
-    """The role of a replica at present."""
+    """The current role of a replica."""
 
     LEARNER = "learner"
     FOLLOWER = "follower"
@@ -61,17 +62,20 @@
     """One replica of the register.
 
     Args:
-        name: This node.
-        members: All nodes in the order of the settings, the same on every node.
-        state: The content of the store.
-        heartbeat_interval: Nanoseconds between two heartbeats of the leader.
-        now: The present time.
+        name: The name of this node.
+        members: The names of all nodes in the order of the settings, which is the same on every node.
+        state: The durable state, as loaded from the store.
+        heartbeat_interval: Time between two heartbeats of the leader, in nanoseconds.
+        now: The current time, in nanoseconds.
 
     Attributes:
-        leader_name: The leader that this replica follows, "" if unknown.
-        leadership: What a leader keeps in memory; idle on the other replicas.
+        leader_name: The name of the current leader, "" if unknown.
+        leadership: The volatile state of a leader; unused in other roles.
         ballot: The ballot of this node's last candidacy.
-        highest_ballot: The highest ballot seen in any message.
+        highest_ballot: The highest ballot that this replica has recorded, its own included.
+        promises: The last vote of each member that promised `ballot`.
+        next_heartbeat_at: The time of the next heartbeat or state request.
+        election_at: The time at which this node starts an election unless it receives a leader's message.
     """
 
     def __init__(
@@ -97,11 +101,11 @@
 
     @property
     def state(self) -> DurableState:
-        """The durable state at present."""
+        """The current durable state."""
         return self.acceptor.state
 
     def tick(self, now: int) -> list[Effect]:
-        """Send what is due and start elections; to be called several times in each heartbeat interval."""
+        """Send due heartbeats and requests, and start due elections. Call it several times per heartbeat."""
         if now >= self.next_heartbeat_at:
             self.next_heartbeat_at = now + self.heartbeat_interval
             if self.role is Role.LEARNER:
@@ -113,10 +117,9 @@
         return self.acceptor.drain_effects()
 
     def propose(self, key: int, base_version: int, proposal_id: str, text: str) -> list[Effect]:
-        """Propose a document as version `base_version` + 1; a `Resolve` with `key` has the outcome.
+        """Propose a document as version `base_version` + 1; a `Resolve` effect with `key` has the outcome.
 
-        A proposal that is sent again with the same id, for instance after a broken connection, gets the same
-        outcome.
+        A retry with the same `proposal_id`, for instance after a broken connection, gets the same outcome.
         """
         if self.role is Role.LEADER:
             value = Value(base_version + 1, proposal_id, text)
@@ -127,7 +130,7 @@
         return self.acceptor.drain_effects()
 
     def receive(self, sender: str, message: Message, now: int) -> list[Effect]:
-        """Handle a message of another replica. Messages of unlisted senders are dropped."""
+        """Handle a message of another replica. Messages from nodes outside the group are dropped."""
         if sender not in self.group.others:
             return []
         match message:
@@ -145,7 +148,7 @@
         return self.acceptor.drain_effects()
 
     def has_majority(self, now: int) -> bool:
-        """Return whether a majority answered this leader lately; on others, whether a leader is known."""
+        """Return whether a majority replied to this leader recently; in other roles, if a leader is known."""
         if self.role is not Role.LEADER:
             return bool(self.leader_name)
         return self.leadership.has_majority(now - ELECTION_TIMEOUT_HEARTBEATS * self.heartbeat_interval)
@@ -159,10 +162,10 @@
             case Accept(ballot, value):
                 self._handle_accept(sender, ballot, value, now)
             case Accepted(ballot, version):
-                if self._leads(ballot):
+                if self._is_leader_of(ballot):
                     self.leadership.handle_accepted(sender, version, now)
             case HeartbeatReply(ballot, chosen_version):
-                if self._leads(ballot):
+                if self._is_leader_of(ballot):
                     self.leadership.handle_heartbeat_reply(sender, chosen_version, now)
             case Reject(ballot, promised):
                 self._handle_reject(ballot, promised, now)
@@ -182,18 +185,17 @@
     # Elections
 
     def _election_timeout(self) -> int:
-        """Return the time without a leader after which this node starts an election.
+        """Return the time without a message of a leader after which this node starts an election.
 
-        It is longer for later members, so that two candidates rarely compete and the earlier one wins.
+        It is longer for later members, so that two candidates rarely compete and the earlier member wins.
         """
         heartbeats = ELECTION_TIMEOUT_HEARTBEATS + ELECTION_STAGGER_HEARTBEATS * self.group.index
         return heartbeats * self.heartbeat_interval
 
     def _start_election(self, now: int) -> None:
-        """Become a candidate, or repeat the unanswered request of this candidate.
+        """Become a candidate; a candidate without a majority repeats its `Prepare` request instead.
 
-        The ballot stays the same on a repetition, so that a node that is cut off does not raise the term
-        more than once.
+        A repeated request has the same ballot, so that a partitioned node raises the term only once.
         """
         self.election_at = now + self._election_timeout()
         if self.role is Role.CANDIDATE:
@@ -231,7 +233,7 @@
         self._broadcast(Heartbeat(self.ballot))
         latest = max(self.promises.values(), key=lambda vote: vote.rank).value
         if latest.version > self.state.chosen.version:
-            # A majority may have accepted this value already, so it must be completed before any other.
+            # A majority may already have accepted this value, so its round must end before any other starts.
             self.leadership.start_round(AcceptRound(latest))
 
     def _handle_reject(self, ballot: Ballot, promised: Ballot, now: int) -> None:
@@ -239,7 +241,7 @@
             self._become_follower("", promised, now)
 
     def _become_follower(self, leader: str, ballot: Ballot, now: int) -> None:
-        """Give up candidacy or leadership for a ballot; `leader` is "" if unknown."""
+        """Become a follower and end any candidacy or leadership. `leader` is "" if unknown."""
         self.highest_ballot = max(self.highest_ballot, ballot)
         self.role = Role.FOLLOWER
         self.leader_name = leader
@@ -248,7 +250,7 @@
 
     # Leader
 
-    def _leads(self, ballot: Ballot) -> bool:
+    def _is_leader_of(self, ballot: Ballot) -> bool:
         return self.role is Role.LEADER and ballot == self.ballot
 
     def _send_heartbeats(self, now: int) -> None:
@@ -263,7 +265,7 @@
     def _handle_accept(self, sender: str, ballot: Ballot, value: Value, now: int) -> None:
         if self.acceptor.reject_outdated(sender, ballot):
             return
-        self._follow(sender, ballot, now)
+        self._follow_leader(sender, ballot, now)
         self.acceptor.accept(sender, ballot, value)
 
     def _handle_heartbeat(self, sender: str, ballot: Ballot, now: int) -> None:
@@ -272,11 +274,11 @@
         elif self.acceptor.reject_outdated(sender, ballot):
             return
         else:
-            self._follow(sender, ballot, now)
+            self._follow_leader(sender, ballot, now)
         self.acceptor.send(sender, HeartbeatReply(ballot, self.state.chosen.version))
 
-    def _follow(self, leader: str, ballot: Ballot, now: int) -> None:
-        """Follow the sender of a leader's message, and restart the election timeout."""
+    def _follow_leader(self, leader: str, ballot: Ballot, now: int) -> None:
+        """Follow the leader that sent a message, and restart the election timeout."""
         if self.role is Role.FOLLOWER:
             self.leader_name = leader
             self.highest_ballot = max(self.highest_ballot, ballot)
--- a/marbleglade/control/quorum/state.py
+++ b/marbleglade/control/quorum/state.py
@@ -1,4 +1,4 @@
-"""The replicated register's values and the durable state of one replica."""
+"""The values of the replicated register, and the durable state of one replica."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Ballot:
-    """The ballot number of a candidate or leader. Higher ones win; (0, -1) is the lowest, and nobody's.
+    """The ballot number of a candidate or leader. The higher one wins; (0, -1) is below all real ballots.
 
     Attributes:
-        term: Rises with each election.
-        node: The candidate's index in the settings' list of nodes.
+        term: The number of the election, higher for each new one.
+        node_index: The index of the candidate in the settings' list of nodes.
     """
 
     term: int = 0
-    node: int = -1
+    node_index: int = -1
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,9 +23,9 @@
     """The register's content: one configuration version.
 
     Attributes:
-        version: From 1; 0 is the empty register.
-        proposal_id: Made up by the proposer, so that a proposal that is sent again is recognised.
-        text: The full document.
+        version: The version number, from 1; 0 is the empty register.
+        proposal_id: Random id from the proposer, by which a retried proposal is recognised.
+        text: The complete configuration document.
     """
 
     version: int = 0
@@ -35,20 +35,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """The value that an acceptor accepted last, and the ballot of the leader that proposed it."""
+    """The last value that an acceptor accepted, and the ballot of the leader that proposed it."""
 
     ballot: Ballot = Ballot()
     value: Value = Value()
 
     @property
     def rank(self) -> tuple[Ballot, int]:
-        """The order of votes. One leader proposes rising versions, so its later votes rank higher."""
+        """The sort key of votes. A leader proposes rising versions, so its later votes rank higher."""
         return self.ballot, self.value.version
 
 
 @dataclass(frozen=True, slots=True)
 class FoundingMember:
-    """A node and the id of the store that it had when the group was founded."""
+    """A node, and the id of its store when the group was founded."""
 
     node: str
     store_id: str
@@ -56,15 +56,15 @@
 
 @dataclass(frozen=True, slots=True)
 class DurableState:
-    """What one replica must not forget.
+    """The state of one replica that must survive a restart.
 
     Attributes:
-        store_id: Random, new with each store.
-        voter: Whether the replica may vote; else it is a learner.
-        founders: The stores of the group's first start; empty on a learner.
-        promised: The highest ballot that was promised.
-        accepted: The last vote.
-        chosen: The newest value that is known to be chosen.
+        store_id: Random id of the store.
+        voter: Whether the replica may vote; otherwise it is a learner.
+        founders: The members and stores that founded the group; empty on a learner.
+        promised: The highest ballot that the replica promised.
+        accepted: The last vote of the replica.
+        chosen: The newest value that the replica learned as chosen.
     """
 
     store_id: str
--- a/tests/control/quorum/cluster.py
+++ b/tests/control/quorum/cluster.py
@@ -174,7 +174,7 @@
     def converged(self):
         """Whether all replicas vote and know the same version, and no vote is in progress."""
         leader = self.replicas.get(self.leader())
-        if not leader or leader.leadership.round:
+        if not leader or leader.leadership.active_round:
             return False
         versions = {replica.state.chosen.version for replica in self.replicas.values()}
         return len(versions) == 1 and all(replica.state.voter for replica in self.replicas.values())
--- a/tests/control/quorum/faulty_clusters.py
+++ b/tests/control/quorum/faulty_clusters.py
@@ -53,8 +53,8 @@
         leadership = self.replicas[name].leadership
 
         def start_next_round():
-            if leadership.pending and not leadership.round:
-                proposal = leadership.pending.popleft()
+            if leadership.pending_proposals and not leadership.active_round:
+                proposal = leadership.pending_proposals.popleft()
                 leadership.start_round(AcceptRound(proposal.value, proposal))
 
         leadership.start_next_round = start_next_round
