--- a/marbleglade/control/quorum/peer_connection.py
+++ b/marbleglade/control/quorum/peer_connection.py
@@ -1,4 +1,4 @@
-"""The connection on which a node writes to one other node."""
+"""The outgoing connection from a node to one other node, for quorum messages."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from .messages import ReplicaHello
 
 CONNECT_TIMEOUT_S = 1.0
-SEND_TIMEOUT_S = 2.0  # in which the other side has to accept bytes
-USER_TIMEOUT_MS = 5_000  # after which unacknowledged data ends a connection
+SEND_TIMEOUT_S = 2.0  # limit for one write to the socket
+USER_TIMEOUT_MS = 5_000  # the kernel drops the connection if data stays unacknowledged for longer
 RECONNECT_PAUSE_S = 0.2
 MAX_QUEUED_MESSAGES = 64
 CONNECTION_OPTIONS = (
@@ -28,28 +28,28 @@
     """Sends messages to another node, and reconnects when the connection breaks.
 
     Args:
-        hello: The first line of each connection.
-        address: The other node's `quorum_address`.
-        guard: Its counters count messages that are lost here.
+        hello: The message that opens each connection.
+        address: The `quorum_address` of the other node.
+        guard: Counts dropped messages and failed writes.
     """
 
     def __init__(self, hello: ReplicaHello, address: tuple[str, int], guard: ErrorGuard) -> None:
         self.hello = hello
         self.address = address
         self.guard = guard
-        self._queue: deque[bytes] = deque(maxlen=MAX_QUEUED_MESSAGES)  # drops the oldest when it is full
+        self._queue: deque[bytes] = deque(maxlen=MAX_QUEUED_MESSAGES)  # drops the oldest message when full
         self._queued = Event()
         self._socket: socket.socket | None = None
 
     def send(self, line: bytes) -> None:
-        """Queue a line; never waits."""
+        """Queue an encoded message without waiting; drop the oldest one if the queue is full."""
         if len(self._queue) == MAX_QUEUED_MESSAGES:
             self.guard.counters.add("quorum.message_dropped")
         self._queue.append(line)
         self._queued.set()
 
     def run(self) -> None:
-        """Write queued lines until the greenlet is killed."""
+        """Write queued messages until the greenlet is killed."""
         while True:
             self._queued.wait()
             self._queued.clear()
@@ -59,11 +59,11 @@
                 except OSError:
                     self.guard.counters.add("quorum.send_failed")
                     self.close()
-                    self._queue.clear()  # the replica repeats what is still unanswered
+                    self._queue.clear()  # the replica repeats unanswered requests
                     gevent.sleep(RECONNECT_PAUSE_S)
 
     def close(self) -> None:
-        """Close the connection; the next line opens a new one."""
+        """Close the connection; the next write opens a new one."""
         if self._socket:
             self._socket.close()
             self._socket = None
--- a/marbleglade/control/quorum/quorum_node.py
+++ b/marbleglade/control/quorum/quorum_node.py
@@ -1,8 +1,9 @@
-"""One control node's part in the quorum: its replica, store, connections and server, put together.
+"""Assembles one control node's part in the quorum: its replica, store, connections and server.
 
-Nodes and operators connect to `quorum_address` and write JSON lines (`codec.py`). A node connects to each
-other node and only writes on that connection; it reads from the connections that others opened. Every wait
-has a limit and every queue a bound; what does not fit is dropped, as the network may drop it.
+Nodes and operators connect to `quorum_address` and write JSON lines (`codec.py`). A node opens a connection
+to each other node and only writes to it; it reads from the connections that the other nodes opened. Every
+wait has a time limit and every queue has a maximum length. A message that does not fit is dropped, which the
+algorithm tolerates like a loss in the network.
 """
 
 from __future__ import annotations
@@ -27,31 +28,31 @@
 
 
 def open_quorum_node(settings: ControlSettings, name: str, directory: str) -> QuorumNode:
-    """Open one node's part in the quorum, with its store in `directory`.
+    """Open the part of the node `name` in the quorum, with its store in `directory`.
 
     Raises:
-        OSError: The store or the address can't be used; one line.
-        ValueError: The settings list no node of this name.
+        OSError: The store can't be used or the address can't be listened on; the message is one line.
+        ValueError: The settings list no node with this name.
     """
     node = settings.node(name)
     if node is None:
-        raise ValueError(f"no node is named {name}")
+        raise ValueError(f"the settings list no node named {name}")
     counters = Counters()
     store = Store(directory, settings.deployment, name)
     return QuorumNode(settings, node, store, ErrorGuard(counters, NodeLog(name, counters)))
 
 
 class QuorumNode:
-    """A `ConfigurationSource` of the control node: the versions that the quorum chose.
+    """The `ConfigurationSource` of a control node that distributes the versions chosen by the quorum.
 
     Args:
-        settings: The control plane.
-        node: Which of its nodes this is.
-        store: Its durable state.
+        settings: The settings of the control plane.
+        node: The settings of this node.
+        store: The store of this node's replica.
         guard: Counts and logs exceptions.
 
     Raises:
-        OSError: `quorum_address` can't be listened on.
+        OSError: The node can't listen on its `quorum_address`.
     """
 
     def __init__(
@@ -67,7 +68,7 @@
             if member.name != node.name
         }
         replica = Replica(node.name, members, store.state, HEARTBEAT_INTERVAL_NS, clock.now())
-        self.driver = ReplicaDriver(replica, store, self.peers, self._publish, guard)
+        self.driver = ReplicaDriver(replica, store, self.peers, self._notify_observers, guard)
         self.server = QuorumServer(node.quorum_address, settings, self.driver, guard)
         self.greenlets: list[gevent.Greenlet] = []
 
@@ -76,12 +77,12 @@
         self._observers.append(observer)
 
     def current(self) -> VersionedDocument | None:
-        """Return the newest version known as chosen; None if there is none."""
+        """Return the newest chosen version in this node's store; None if there is none."""
         chosen = self.store.state.chosen
         return VersionedDocument(chosen.version, chosen.text) if chosen.version else None
 
     def run(self) -> None:
-        """Run until the greenlet is killed or the store fails."""
+        """Run until the greenlet is killed or the store has failed permanently."""
         loops = [self.server.run, *(peer.run for peer in self.peers.values())]
         self.greenlets = [gevent.spawn(loop) for loop in loops]
         try:
@@ -96,6 +97,6 @@
         for peer in self.peers.values():
             peer.close()
 
-    def _publish(self, value: Value) -> None:
+    def _notify_observers(self, value: Value) -> None:
         for observer in self._observers:
             observer(VersionedDocument(value.version, value.text))
--- a/marbleglade/control/quorum/replica_driver.py
+++ b/marbleglade/control/quorum/replica_driver.py
@@ -1,7 +1,7 @@
-"""Runs a replica: feeds it with messages, proposals and the time, and executes its effects.
+"""Runs a replica: passes messages, proposals and the time to it, and executes the effects that it returns.
 
-One greenlet owns the replica. It executes effects in their order, so that nothing is sent before the state
-that it depends on is durable.
+One greenlet owns the replica. It executes effects in order, so that no message is sent before the state that
+it depends on is durable.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 TICKS_PER_HEARTBEAT = 4
 TICK_INTERVAL_S = HEARTBEAT_INTERVAL_NS / TICKS_PER_HEARTBEAT / SECOND_NS
 STORE_RETRY_PAUSE_S = 0.2
-MAX_STORE_FAILURE_NS = 300 * SECOND_NS  # for which failed writes are repeated; then this node stops voting
-MAX_INPUTS = 1024  # messages and proposals that wait for the replica
+MAX_STORE_FAILURE_NS = 300 * SECOND_NS  # a write that fails for longer stops this node's replica
+MAX_INPUTS = 1024  # queued messages and proposals
 PROPOSAL_TIMEOUT_S = 30.0
 OVERLOADED = "the node has too much to do"
 
 
 @dataclass(slots=True)
 class ReceivedMessage:
-    """A message of another replica."""
+    """A message from another replica."""
 
     sender: str
     message: Message
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class SubmittedProposal:
-    """A proposal of an operator, and the future of its outcome."""
+    """An operator's proposal, and the future that receives its outcome."""
 
     base_version: int
     proposal_id: str
@@ -54,12 +54,12 @@
 
 
 class ReplicaDriver:
-    """The owner of one replica.
+    """Runs one replica, with a queue of messages and proposals for it.
 
     Args:
-        replica: It must have been made with the state of `store`.
-        store: Persists the replica's state.
-        peers: The connections to all other nodes, by node name.
+        replica: The replica, created with the state of `store`.
+        store: Makes the replica's state durable.
+        peers: The outgoing connections to all other nodes, by node name.
         publish: Called with each newly chosen value.
         guard: Counts and logs exceptions.
     """
@@ -79,10 +79,10 @@
         self.guard = guard
         self._inputs: Queue[ReceivedMessage | SubmittedProposal] = Queue(MAX_INPUTS)
         self._proposals: dict[int, AsyncResult] = {}
-        self._last_key = 0
+        self._last_proposal_key = 0
 
     def submit_message(self, sender: str, message: Message) -> bool:
-        """Queue a message of another replica; False if the queue is full and the message is dropped."""
+        """Queue a message from another replica; return False if the queue is full and the message dropped."""
         try:
             self._inputs.put_nowait(ReceivedMessage(sender, message))
         except Full:
@@ -90,7 +90,7 @@
         return True
 
     def propose(self, base_version: int, proposal_id: str, text: str) -> ProposalOutcome:
-        """Propose a valid document, and wait for the outcome, `PROPOSAL_TIMEOUT_S` at most."""
+        """Propose a valid document, and wait up to `PROPOSAL_TIMEOUT_S` for the outcome."""
         outcome = AsyncResult()
         try:
             self._inputs.put_nowait(SubmittedProposal(base_version, proposal_id, text, outcome))
@@ -103,17 +103,17 @@
         return result
 
     def run(self) -> None:
-        """Run the replica until the greenlet is killed, or the store has failed for good.
+        """Run the replica until the greenlet is killed or the store has failed permanently.
 
-        The node goes on without its replica: it votes on nothing until it is restarted.
+        After a store failure the node continues without its replica: it does not vote until it is restarted.
         """
         try:
-            self._run_ticks()
+            self._run_replica()
         except StoreError as error:
             self.guard.log.info("quorum", replica_stopped=str(error))
-            self._abandon_proposals()
+            self._resolve_all_as_unknown()
 
-    def _run_ticks(self) -> None:
+    def _run_replica(self) -> None:
         logged_role = None
         while True:
             with suppress(Empty):
@@ -132,14 +132,14 @@
             term=self.replica.state.promised.term,
         )
 
-    def _handle_input(self, received: ReceivedMessage | SubmittedProposal) -> None:
-        if isinstance(received, ReceivedMessage):
-            effects = self.replica.receive(received.sender, received.message, clock.now())
+    def _handle_input(self, queued: ReceivedMessage | SubmittedProposal) -> None:
+        if isinstance(queued, ReceivedMessage):
+            effects = self.replica.receive(queued.sender, queued.message, clock.now())
         else:
-            self._last_key += 1
-            self._proposals[self._last_key] = received.outcome
+            self._last_proposal_key += 1
+            self._proposals[self._last_proposal_key] = queued.outcome
             effects = self.replica.propose(
-                self._last_key, received.base_version, received.proposal_id, received.text
+                self._last_proposal_key, queued.base_version, queued.proposal_id, queued.text
             )
         self._execute_effects(effects)
 
@@ -157,13 +157,13 @@
                     self._proposals.pop(key).set(outcome)
 
     def _persist(self, state: DurableState) -> None:
-        """Make a state durable, and repeat the write while the directory fails.
+        """Make a state durable, and repeat a failed write.
 
-        A sync may take long: other greenlets run meanwhile, but nothing else of this replica, so that
-        nothing is acknowledged before it is durable.
+        A sync may take long. Other greenlets run meanwhile, but this replica does nothing else, so that it
+        acknowledges no state before it is durable.
 
         Raises:
-            StoreError: The directory failed for `MAX_STORE_FAILURE_NS`, or lost an acknowledged state.
+            StoreError: Writes failed for `MAX_STORE_FAILURE_NS`, or the store lost an acknowledged state.
         """
         deadline = clock.now() + MAX_STORE_FAILURE_NS
         error = _run_in_thread(self.store.write, state)
@@ -176,14 +176,14 @@
             gevent.sleep(STORE_RETRY_PAUSE_S)
             error = _run_in_thread(self.store.reopen, state) or _run_in_thread(self.store.write, state)
 
-    def _abandon_proposals(self) -> None:
+    def _resolve_all_as_unknown(self) -> None:
         for outcome in self._proposals.values():
             outcome.set(ProposalOutcomeUnknown())
         self._proposals.clear()
 
 
 def _run_in_thread(operation: Callable[[DurableState], None], state: DurableState) -> StoreError | None:
-    """Run an operation of the store outside the event loop; return its error, if any."""
+    """Run a store operation in a thread, as it blocks; return its error, None on success."""
 
     def attempt() -> StoreError | None:
         try:
--- a/marbleglade/control/quorum/store.py
+++ b/marbleglade/control/quorum/store.py
@@ -1,8 +1,8 @@
-"""The durable state of one quorum replica, in an embedded store (lmdb), each write atomic and synced.
+"""Stores the durable state of one quorum replica in lmdb, an embedded database; writes are atomic and synced.
 
-Every record has a checksum. A store that is torn, of another node or deployment, of a newer format, or in
-use, is refused and never repaired: a replica that forgets without knowing it could break the quorum's
-guarantees. Records are JSON; `codec.py` has their keys.
+Every record has a checksum. A store is rejected and never repaired if it is corrupt, belongs to another node
+or deployment, has another format version or is in use: a replica that loses state unnoticed could violate
+the quorum's guarantees. Records are JSON; `codec.py` defines their keys.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from .state import DurableState, Value, Vote
 
 FORMAT_VERSION = 1
-MAP_SIZE_BYTES = 1 << 26  # MAX_VERSIONS documents of full length take a sixteenth of it
-MAX_VERSIONS = 64  # that are stored; the oldest are dropped
-CHECKSUM_BYTES = 8  # before each record
-VERSION_BYTES = 8  # of a key in the database of versions, big-endian
+MAP_SIZE_BYTES = 1 << 26  # MAX_VERSIONS documents of maximum length take a sixteenth of it
+MAX_VERSIONS = 64  # number of stored versions; the oldest are deleted
+CHECKSUM_BYTES = 8  # length of the checksum in front of each record
+VERSION_BYTES = 8  # length of a key in the database of versions, a big-endian integer
 STORE_ID_BYTES = 8
 
 RECORDS_DATABASE = b"records"
@@ -31,39 +31,40 @@
 IDENTITY_KEY = b"identity"
 REPLICA_KEY = b"replica"
 ACCEPTED_KEY = b"accepted"
-# The parts of `DurableState` that are records of their own, by their keys in JSON.
-ACCEPTED_PART = "accepted"
-CHOSEN_PART = "chosen"
+# JSON keys of those fields of `DurableState` that are stored in separate records.
+ACCEPTED_FIELD = "accepted"
+CHOSEN_FIELD = "chosen"
 
 
 class StoreError(OSError):
-    """The store can't be used; the text is one line."""
+    """The store can't be used; the message is one line."""
 
 
 class LostStateError(StoreError):
-    """A state that was acknowledged is lost: this store must not vote."""
+    """The store lost an acknowledged state: its replica must not vote."""
 
 
 class Store:
-    """The state of one replica in a directory, which is created if it is missing.
+    """The durable state of one replica, in a directory that is created if it is missing.
 
     Args:
-        directory: Its path; one process at a time can use it.
-        deployment: The deployment's name.
-        node: The control node's name.
+        directory: The path of the directory; only one process at a time can use it.
+        deployment: The name of the deployment.
+        node: The name of the control node.
 
     Attributes:
-        state: The state that was written last.
+        state: The state that was last written or loaded.
 
     Raises:
-        StoreError: It is torn, foreign, newer or in use, or the directory can't be used.
+        StoreError: The store is corrupt, in use, or of another node, deployment or format version, or the
+            directory can't be used.
     """
 
     def __init__(self, directory: str, deployment: str, node: str) -> None:
         self.directory = directory
-        self.env: Any = None  # an lmdb.Environment while it is open
+        self.env: Any = None  # lmdb.Environment while the store is open
         self._identity = {"form": FORMAT_VERSION, "deployment": deployment, "node": node}
-        self._rewrite_all = False  # the last write may not be durable
+        self._rewrite_all = False  # True after a failed write, whose records may not be durable
         try:
             os.makedirs(directory, exist_ok=True)
             self.lock = os.open(os.path.join(directory, "lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -77,10 +78,10 @@
             raise
 
     def write(self, state: DurableState) -> None:
-        """Make a state durable: on return it survives a loss of power.
+        """Make a state durable: once this returns, the state survives a power failure.
 
         Raises:
-            StoreError: The write failed. The state may be stored or not.
+            StoreError: The write failed; it is unknown whether the state is stored.
         """
         accepted_changed = self._rewrite_all or state.accepted != self.state.accepted
         chosen_changed = self._rewrite_all or state.chosen != self.state.chosen
@@ -92,26 +93,25 @@
                 if state.chosen.version and chosen_changed:
                     self._put_version(transaction, state.chosen)
         except lmdb.Error as error:
-            raise self._error(str(error)) from error
+            raise self._store_error(str(error)) from error
         self.state = state
         self._rewrite_all = False
 
     def reopen(self, attempted: DurableState) -> None:
-        """Open the store again after a write that failed; the next write writes the complete state again.
+        """Reopen the store after a failed write; the next write writes all records of the state again.
 
-        A failed write can leave the environment unusable, and pages that are not durable though they can be
-        read.
+        A failed write can leave the environment unusable, and pages that can be read but are not durable.
 
         Args:
-            attempted: The state whose write failed; it may be stored or not.
+            attempted: The state whose write failed; it is unknown whether it is stored.
 
         Raises:
-            StoreError: It can't be opened for now.
-            LostStateError: It has neither the attempted state nor the one before it.
+            StoreError: The store can't be opened at present.
+            LostStateError: The store contains neither the attempted state nor the previous one.
         """
         self._close_environment()
         if self._open_and_load() not in (self.state, attempted):
-            raise LostStateError(f"{self.directory}: it has lost a state that was acknowledged")
+            raise LostStateError(f"{self.directory}: the store has lost an acknowledged state")
         self._rewrite_all = True
 
     def close(self) -> None:
@@ -123,20 +123,20 @@
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
-            raise self._error("it is in use by another process") from error
+            raise self._store_error("the store is in use by another process") from error
 
     def _open_and_load(self) -> DurableState:
         try:
             self.env = lmdb.open(self.directory, map_size=MAP_SIZE_BYTES, max_dbs=2, readahead=False)
         except lmdb.Error as error:
-            raise self._error(f"it is no store, or torn: {error}") from error
+            raise self._store_error(f"not a store, or corrupt: {error}") from error
         self._check_size(self.env)
         try:
             self.records = self.env.open_db(RECORDS_DATABASE)
             self.versions = self.env.open_db(VERSIONS_DATABASE)
             return self._load() or self._initialise()
         except lmdb.Error as error:
-            raise self._error(f"it is torn: {error}") from error
+            raise self._store_error(f"the store is corrupt: {error}") from error
 
     def _close_environment(self) -> None:
         if self.env is not None:
@@ -144,21 +144,23 @@
             self.env = None
 
     def _check_size(self, env: lmdb.Environment) -> None:
-        """Refuse a truncated file: reading a page beyond its end would kill the process, not raise."""
+        """Reject a truncated file: reading a page beyond its end would kill the process, without an error."""
         needed = (env.info()["last_pgno"] + 1) * env.stat()["psize"]
         size = os.path.getsize(os.path.join(self.directory, "data.mdb"))
         if size < needed:
-            raise self._error(f"it is torn: {size} bytes of {needed}")
+            raise self._store_error(
+                f"the store is corrupt: data.mdb has {size} bytes, expected at least {needed}"
+            )
 
     def _load(self) -> DurableState | None:
         """Return the stored state; None if the store is empty."""
         with self.env.begin() as transaction:
             identity = transaction.get(IDENTITY_KEY, db=self.records)
             if identity is not None:
-                self._check_identity(self._content(identity))
+                self._check_identity(self._decode_record(identity))
                 return self._read_state(transaction)
             if transaction.stat(self.records)["entries"] or transaction.stat(self.versions)["entries"]:
-                raise self._error("it is torn: it does not say whose it is")
+                raise self._store_error("the store is corrupt: it has records but no identity record")
         return None
 
     def _initialise(self) -> DurableState:
@@ -168,37 +170,37 @@
             self._put_replica(transaction, state)
         return state
 
-    def _check_identity(self, found: object) -> None:
+    def _check_identity(self, identity: object) -> None:
         for name, expected in self._identity.items():
-            stored = found.get(name) if isinstance(found, dict) else None
+            stored = identity.get(name) if isinstance(identity, dict) else None
             if stored != expected:
-                raise self._error(f"it is of {name} {stored!r}, and this is {expected!r}")
+                raise self._store_error(f"the store has {name} {stored!r}, expected {expected!r}")
 
     def _read_state(self, transaction: lmdb.Transaction) -> DurableState:
-        replica = self._content(transaction.get(REPLICA_KEY, db=self.records))
+        replica = self._decode_record(transaction.get(REPLICA_KEY, db=self.records))
         accepted = transaction.get(ACCEPTED_KEY, db=self.records)
         with transaction.cursor(self.versions) as cursor:
             chosen = cursor.value() if cursor.last() else None
-        vote = self._content(accepted) if accepted else to_json(Vote())
-        value = self._content(chosen) if chosen else to_json(Value())
+        vote = self._decode_record(accepted) if accepted else to_json(Vote())
+        value = self._decode_record(chosen) if chosen else to_json(Value())
         try:
             if not isinstance(replica, dict):
                 raise InvalidMessageError("not a JSON object")
-            return from_json(DurableState, replica | {ACCEPTED_PART: vote, CHOSEN_PART: value})
+            return from_json(DurableState, replica | {ACCEPTED_FIELD: vote, CHOSEN_FIELD: value})
         except InvalidMessageError as error:
-            raise self._error("it is torn: a record can't be read") from error
+            raise self._store_error("the store is corrupt: a record is not valid") from error
 
-    def _content(self, record: bytes | memoryview | None) -> object:
-        """Return the JSON of a record. Raises `StoreError` if its checksum is wrong."""
+    def _decode_record(self, record: bytes | memoryview | None) -> object:
+        """Return the JSON content of a record. Raises `StoreError` if it is missing or its checksum wrong."""
         if record is None or _checksum(record[CHECKSUM_BYTES:]) != bytes(record[:CHECKSUM_BYTES]):
-            raise self._error("it is torn: a record's checksum is wrong")
+            raise self._store_error("the store is corrupt: a record is missing or has a wrong checksum")
         content: object = orjson.loads(record[CHECKSUM_BYTES:])
         return content
 
     def _put_replica(self, transaction: lmdb.Transaction, state: DurableState) -> None:
-        parts = to_json(state)
-        del parts[ACCEPTED_PART], parts[CHOSEN_PART]
-        transaction.put(REPLICA_KEY, _with_checksum(parts), db=self.records)
+        fields = to_json(state)
+        del fields[ACCEPTED_FIELD], fields[CHOSEN_FIELD]
+        transaction.put(REPLICA_KEY, _with_checksum(fields), db=self.records)
 
     def _put_version(self, transaction: lmdb.Transaction, value: Value) -> None:
         key = value.version.to_bytes(VERSION_BYTES, "big")
@@ -207,7 +209,7 @@
             while transaction.stat(self.versions)["entries"] > MAX_VERSIONS and cursor.first():
                 cursor.delete()
 
-    def _error(self, text: str) -> StoreError:
+    def _store_error(self, text: str) -> StoreError:
         return StoreError(f"{self.directory}: {' '.join(text.split())}")
 
 
--- a/tests/control/configuration/test_store_processes.py
+++ b/tests/control/configuration/test_store_processes.py
@@ -54,8 +54,8 @@
     file = nodes.store("c0") / "data.mdb"
     data = file.read_bytes()
     file.write_bytes(data[: len(data) // 2])
-    torn = run_program(*nodes.arguments("c0"))
+    corrupt = run_program(*nodes.arguments("c0"))
     file.write_bytes(data)
     foreign = run_program(*nodes.arguments("c0")[:-3], "c1", *nodes.arguments("c0")[-2:])
-    for result, expected in ((torn, "torn"), (foreign, "node 'c0', and this is 'c1'")):
+    for result, expected in ((corrupt, "corrupt"), (foreign, "node 'c0', expected 'c1'")):
         assert result.returncode == 2 and expected in result.stderr and result.stderr.count("\n") == 1
--- a/tests/control/quorum/test_store.py
+++ b/tests/control/quorum/test_store.py
@@ -54,8 +54,8 @@
 @pytest.mark.parametrize(
     ("deployment", "node", "error_text"),
     [
-        ("other", "c1", "deployment 'shop', and this is 'other'"),
-        ("shop", "c2", "node 'c1', and this is 'c2'"),
+        ("other", "c1", "deployment 'shop', expected 'other'"),
+        ("shop", "c2", "node 'c1', expected 'c2'"),
     ],
 )
 def test_a_foreign_store_is_refused(tmp_path, deployment, node, error_text):
@@ -101,7 +101,7 @@
     file = tmp_path / "data.mdb"
     torn = damage(Path(file).read_bytes())
     file.write_bytes(torn)
-    with pytest.raises(StoreError, match="torn") as caught:
+    with pytest.raises(StoreError, match="corrupt") as caught:
         open_store(tmp_path)
     assert "\n" not in str(caught.value)
     assert file.read_bytes()[: len(torn)] == torn
