--- a/marbleglade/control/configuration/__init__.py
+++ b/marbleglade/control/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration document: parsed, proposed, versioned and applied."""
+"""Configuration documents: parsing, proposing to control nodes, versions and application at fronts."""
--- a/marbleglade/control/configuration/document.py
+++ b/marbleglade/control/configuration/document.py
@@ -1,7 +1,7 @@
-"""The configuration document of a deployment: parsed, and checked completely before it is accepted anywhere.
+"""Parses the configuration document of a deployment, and checks it completely.
 
-Protobuf text format by `configuration.proto`. Fronts, control nodes and the command line check it with the
-same code; a document with any error is rejected.
+A document is protobuf text format with the schema `configuration.proto`. Fronts, control nodes and the
+command line check it with this same code, and reject a document that has any error.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class InvalidDocumentError(Exception):
-    """The document is not valid; `errors` has one line for each reason, with its field."""
+    """The document is not valid; `errors` has one line for each error, which names the field."""
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__("; ".join(errors))
@@ -34,7 +34,7 @@
 
 
 class ConfigurationRejectedError(Exception):
-    """A front can't use a valid document; `reason` is one line."""
+    """A front can't apply a document; `reason` is one line."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceConfiguration:
-    """A maintenance plan, and its encoding in which fronts forward it to each other."""
+    """A maintenance plan, as an object and in the encoding that fronts send to each other."""
 
     plan: MaintenancePlan
     encoded: bytes
@@ -51,7 +51,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionConfiguration:
-    """The settings for the fronts of one region; those that are None or empty stay unchanged."""
+    """The settings for the fronts of one region. A setting that is None or empty is left unchanged.
+
+    Attributes:
+        name: The name of the region.
+        discovery: The address of the region's discovery service.
+        peers: The addresses of all fronts of the tier, in its order.
+        peers_all: The address that reaches all of these fronts with one datagram.
+        maintenance: The maintenance plan.
+    """
 
     name: str
     discovery: tuple[str, int] | None
@@ -62,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """A valid document."""
+    """The content of a valid configuration document."""
 
     deployment: str
     base_version: int
@@ -70,63 +78,64 @@
 
     @property
     def version(self) -> int:
-        """The version that the document becomes once it is accepted."""
+        """The version number that the document gets once it is chosen."""
         return self.base_version + 1
 
     def region(self, name: str) -> RegionConfiguration | None:
-        """Return the settings for the fronts of a region; None if it has none."""
+        """Return the settings for the fronts of a region; None if the document has none for it."""
         return next((region for region in self.regions if region.name == name), None)
 
 
 def read(text: str, settings: ControlSettings) -> Configuration:
-    """Parse and check a document of the deployment that `settings` describe.
+    """Parse a document, and check it against the settings of the deployment's control plane.
 
     Raises:
-        InvalidDocumentError: The document is not valid; `errors` lists every reason.
+        InvalidDocumentError: The document is not valid; `errors` lists all errors found.
     """
     size = len(text.encode("utf-8", "surrogatepass"))
     if size > MAX_CONFIGURATION_BYTES:
         raise InvalidDocumentError([f"it has {size} bytes, {MAX_CONFIGURATION_BYTES} at most"])
     message, errors = _parse(text)
-    errors += (" ".join(error.split()) for error in _errors(message, settings))
+    errors += (" ".join(error.split()) for error in _document_errors(message, settings))
     if errors:
         raise InvalidDocumentError(errors)
     return Configuration(
-        message.deployment, message.base_version, tuple(_region(region) for region in message.region)
+        message.deployment, message.base_version, tuple(_build_region(region) for region in message.region)
     )
 
 
 def _parse(text: str) -> tuple[ConfigurationDocument, list[str]]:
-    """Parse the text format; return the document and the errors of its form.
+    """Parse the text format; return the message and its syntax errors.
 
-    After the first unknown field the others are ignored, so that the errors of known fields are found too.
+    The parser stops at an unknown field. The text is then parsed again without unknown fields, so that the
+    errors of known fields are reported too.
     """
     message = ConfigurationDocument()
     try:
         return text_format.Parse(text, message), []
     except (ValueError, text_format.ParseError) as error:
-        form_error = " ".join(str(error).split())
+        syntax_error = " ".join(str(error).split())
     except RecursionError:
         raise InvalidDocumentError([NESTED_TOO_DEEPLY]) from None
     message = ConfigurationDocument()
     try:
-        return text_format.Parse(text, message, allow_unknown_field=True), [form_error]
+        return text_format.Parse(text, message, allow_unknown_field=True), [syntax_error]
     except (ValueError, text_format.ParseError, RecursionError):
-        raise InvalidDocumentError([form_error]) from None
+        raise InvalidDocumentError([syntax_error]) from None
 
 
-def _errors(message: ConfigurationDocument, settings: ControlSettings) -> Iterator[str]:
+def _document_errors(message: ConfigurationDocument, settings: ControlSettings) -> Iterator[str]:
     if message.deployment != settings.deployment:
-        yield f"deployment: {message.deployment!r}, and this is {settings.deployment!r}"
+        yield f"deployment: {message.deployment!r}, expected {settings.deployment!r}"
     if message.base_version >= VERSION_LIMIT:
         yield f"base_version: {message.base_version} is too large"
     if not message.region:
         yield "region: there is none"
-    known = {region.name for region in settings.regions}
+    known_regions = {region.name for region in settings.regions}
     seen: set[str] = set()
     for region in message.region:
         path = f"region {region.name!r}"
-        if region.name not in known:
+        if region.name not in known_regions:
             yield f"{path}: the control plane's settings do not list it"
         elif region.name in seen:
             yield f"{path}: it is listed twice"
@@ -143,7 +152,7 @@
         return
     yield from _peer_errors(region.peer)
     if region.peers_all and not region.peer:
-        yield "peers_all: it is told without peers"
+        yield "peers_all: set without a list of peers"
     if region.HasField("work"):
         yield from (f"work: {error}" for error in find_plan_errors(region.work))
         for job in region.work.job:
@@ -162,7 +171,7 @@
         seen.add(peer)
 
 
-def _region(region: RegionMessage) -> RegionConfiguration:
+def _build_region(region: RegionMessage) -> RegionConfiguration:
     return RegionConfiguration(
         region.name,
         parse_address(region.discovery) if region.discovery else None,
--- a/marbleglade/control/configuration/proposer.py
+++ b/marbleglade/control/configuration/proposer.py
@@ -1,4 +1,4 @@
-"""Proposes a configuration document to the control nodes, for the command line."""
+"""Proposes a configuration document to the control nodes; used by the command line."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 from ..settings import ControlSettings, NodeSettings
 from . import document as configuration
 
-ROUND_PAUSE_S = 0.1  # between two rounds in which no node accepted the proposal
+ROUND_PAUSE_S = 0.1  # pause after a round over all nodes in which none accepted the proposal
 CONNECT_TIMEOUT_S = 1.0
 MIN_CONNECT_TIMEOUT_S = 0.01
-MIN_RETRY_TIME_S = 0.25  # that must remain for a retry at a node; more if answers take longer
-ANSWER_TIMEOUT_S = 2.0  # of one node; then the proposal is sent to another one, with the same id
+MIN_RETRY_TIME_S = 0.25  # time that must remain for a retry at a node; more if answers take longer
+ANSWER_TIMEOUT_S = 2.0  # limit per node; then the proposal is sent to the next node with the same id
 READ_BYTES = 1 << 16
 PROPOSAL_ID_BYTES = 8
 
 
 class NoAnswerError(Exception):
-    """A node did not answer.
+    """A node gave no valid answer to a proposal.
 
     Attributes:
-        maybe_delivered: The node may have received the proposal.
+        maybe_delivered: Whether the node may have received the proposal.
     """
 
     def __init__(self, reason: str, maybe_delivered: bool) -> None:
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NotAccepted:
-    """No node accepted the proposal, and none will. `reasons` are by node name."""
+    """No node accepted the proposal, and none can do so later. `reasons` maps node names to reasons."""
 
     reasons: dict[str, str]
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """A node may have accepted the proposal, and its outcome could not be learned."""
+    """A node may have accepted the proposal, but its outcome could not be determined."""
 
     reason: str
 
@@ -61,17 +61,17 @@
 
 
 class Proposer:
-    """One proposal, sent to the nodes in turn until its outcome is known or the timeout is over.
+    """Sends one proposal to the nodes in turn until its outcome is known or the timeout has passed.
 
     Args:
-        settings: The control plane.
-        text: The document.
-        timeout: Seconds.
+        settings: The settings of the control plane.
+        text: The text of the document.
+        timeout: The time limit of the proposal, in seconds.
 
     Attributes:
-        unknown_reason: Why the proposal may be pending at a node that gave no outcome; "" if it is at none.
-        reasons: Each node's last reason not to accept the proposal.
-        longest_answer_s: The longest time that a node took to answer.
+        unknown_reason: Why a node may have accepted the proposal without reporting it; "" if none can have.
+        reasons: The last reason of each node for not accepting the proposal, by node name.
+        longest_answer_s: The longest time that a node took to answer, in seconds.
     """
 
     def __init__(self, settings: ControlSettings, text: str, timeout: float) -> None:
@@ -102,9 +102,9 @@
         return self.deadline - time.monotonic()
 
     def _has_time_for(self, node: NodeSettings) -> bool:
-        """Return whether an answer of the node can arrive in time.
+        """Return whether the node's answer can be expected before the deadline.
 
-        An attempt that is cut off by the deadline would only make the outcome unknown, as the node may have
+        An attempt that the deadline cuts off would only make the outcome unknown, as the node may have
         received the proposal.
         """
         is_retry = node.name in self.reasons
@@ -112,7 +112,7 @@
         return self._remaining_s() > needed_s
 
     def _propose_to(self, node: NodeSettings, redirected: bool = False) -> ProposalResult | None:
-        """Send the proposal to a node, and to the leader that it names; None if the result is still open."""
+        """Send the proposal to a node, then to the leader that it names; None if there is no final result."""
         if not self._has_time_for(node):
             return None
         started_at = time.monotonic()
@@ -129,26 +129,24 @@
             leader = self.settings.node(outcome.leader)
             return self._propose_to(leader, redirected=True) if leader and not redirected else None
         if isinstance(outcome, ProposalOutcomeUnknown):
-            self.unknown_reason = f"{node.name}: it lost the majority before the proposal was decided"
+            self.unknown_reason = f"{node.name}: the node lost the majority before the proposal was decided"
             return None
-        return self._checked_result(outcome)
+        return self._result_of(outcome)
 
-    def _checked_result(
-        self, outcome: ProposalAccepted | ProposalConflict | ProposalInvalid
-    ) -> ProposalResult:
-        """Return the result of an outcome.
+    def _result_of(self, outcome: ProposalAccepted | ProposalConflict | ProposalInvalid) -> ProposalResult:
+        """Return the result of the whole proposal for the outcome that one node reported.
 
-        A conflict with a version after the next one does not say who won the next one: that may be this
-        proposal, if a node may have accepted it before.
+        A conflict that reports a version above `base_version` + 1 does not tell which proposal became
+        `base_version` + 1. It may be this one, if an earlier attempt may have been accepted.
         """
         if not isinstance(outcome, ProposalConflict):
             return outcome
         if self.unknown_reason and outcome.version > self.base_version + 1:
-            return OutcomeUnknown(f"{self.unknown_reason}; version {outcome.version} is in force by now")
+            return OutcomeUnknown(f"{self.unknown_reason}; version {outcome.version} is now in force")
         return outcome
 
     def _request_outcome(self, node: NodeSettings) -> ProposalOutcome | ProposalInvalid:
-        """Return one node's answer.
+        """Send the proposal to one node, and return its answer.
 
         Raises:
             NoAnswerError: The node can't be reached, or its answer is missing or not valid.
@@ -163,7 +161,7 @@
         except (OSError, InvalidMessageError) as error:
             raise NoAnswerError(str(error) or type(error).__name__, connected) from error
         if not isinstance(answer, ProposalOutcome | ProposalInvalid):
-            raise NoAnswerError("its answer is no outcome of a proposal", connected)
+            raise NoAnswerError("the answer is not an outcome of a proposal", connected)
         return answer
 
     def _read_answer(self, sock: socket.socket) -> object:
@@ -172,12 +170,12 @@
         while not buffer.endswith(b"\n"):
             remaining_s = deadline - time.monotonic()
             if remaining_s <= 0:
-                raise TimeoutError("no answer in time")
+                raise TimeoutError("no complete answer in time")
             sock.settimeout(remaining_s)
             data = sock.recv(READ_BYTES)
             if not data:
-                raise ConnectionError("it closed the connection")
+                raise ConnectionError("the node closed the connection before a complete answer")
             buffer += data
             if len(buffer) > MAX_LINE_BYTES:
-                raise InvalidMessageError(f"an answer of more than {MAX_LINE_BYTES} bytes")
+                raise InvalidMessageError(f"the answer is longer than {MAX_LINE_BYTES} bytes")
         return decode(buffer)
--- a/marbleglade/control/configuration/reconfiguration.py
+++ b/marbleglade/control/configuration/reconfiguration.py
@@ -1,6 +1,6 @@
 """Applies configuration documents to a running front: checks a document completely, then applies its changes.
 
-The parts of the front that a change concerns are callbacks, so that this module imports none of them.
+The front passes its parts as callbacks (`ConfigurationTarget`), so that this module does not import them.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveConfiguration:
-    """The present configuration of a front, as far as a document can change it."""
+    """The part of a front's current configuration that a document can change."""
 
     discovery: Address
     peers: tuple[Address, ...]
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationChanges:
-    """The changes that a document makes at a front; None: no change."""
+    """The changes that a document makes at a front. None means no change."""
 
     discovery: Address | None = None
     peers: tuple[Address, ...] | None = None
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationTarget:
-    """The parts of a front that a document can change.
+    """The callbacks through which a document changes a front.
 
     Attributes:
-        active_configuration: Returns the present configuration.
-        own_peer: The front's own address among its peers; None if it has no peers.
-        set_discovery_address: Follows the discovery service at another address.
+        active_configuration: Returns the current configuration of the front.
+        own_peer: The front's own address in the list of peers; None if it was started without peers.
+        set_discovery_address: Switches to the discovery service at another address.
         set_peers: Replaces the list of peers, and the address that reaches all of them.
-        set_maintenance_plan: Replaces the maintenance plan; None if this front takes part in none.
+        set_maintenance_plan: Replaces the maintenance plan; None if the front takes part in no maintenance.
     """
 
     active_configuration: Callable[[], ActiveConfiguration]
@@ -63,13 +63,13 @@
     """Applies configuration versions to one front, in rising order.
 
     Args:
-        settings: The control plane; documents are checked against them.
-        region: The front's region.
-        target: The parts of the front.
+        settings: The settings of the control plane, against which documents are checked.
+        region: The name of the front's region.
+        target: The callbacks that change the front.
 
     Attributes:
-        version: The version in force; 0: none was distributed yet.
-        applied_plan: The encoded maintenance plan that was applied last.
+        version: The version in force; 0 before the first one.
+        applied_plan: The encoded maintenance plan that was applied last; None before the first one.
     """
 
     def __init__(self, settings: ControlSettings, region: str, target: ConfigurationTarget) -> None:
@@ -80,29 +80,33 @@
         self.applied_plan: bytes | None = None
 
     def configure(self, version: int, text: str) -> ConfigurationChanges:
-        """Apply all changes of a version; the version in force changes nothing.
+        """Apply all changes of a version, and return them. The version in force has no changes.
 
         Raises:
-            ConfigurationRejectedError: This front can't use the document. Nothing is changed.
+            ConfigurationRejectedError: The front can't apply the document, and has not changed.
         """
         if version == self.version:
             return ConfigurationChanges()
         if version < self.version:
-            raise ConfigurationRejectedError(f"version {version} is older than {self.version} in force")
-        document = self._checked(version, text)
+            raise ConfigurationRejectedError(
+                f"version {version} is older than version {self.version}, which is in force"
+            )
+        document = self._read_checked(version, text)
         region = document.region(self.region)
-        changes = self._changes(region) if region else ConfigurationChanges()
+        changes = self._find_changes(region) if region else ConfigurationChanges()
         self._apply(changes)
         self.version = version
         return changes
 
-    def _checked(self, version: int, text: str) -> Configuration:
+    def _read_checked(self, version: int, text: str) -> Configuration:
         try:
             document = read(text, self.settings)
         except InvalidDocumentError as error:
             raise ConfigurationRejectedError(str(error)) from error
         if document.version != version:
-            raise ConfigurationRejectedError(f"the document says version {document.version}, not {version}")
+            raise ConfigurationRejectedError(
+                f"the document has version {document.version}, expected {version}"
+            )
         if region := document.region(self.region):
             self._check_usable(region)
         return document
@@ -111,25 +115,27 @@
         if region.peers:
             self._check_peers(region.peers)
         if region.maintenance and self.target.set_maintenance_plan is None:
-            raise ConfigurationRejectedError("it holds an order of work, and this front takes part in none")
+            raise ConfigurationRejectedError(
+                "it has a maintenance plan (work), but this front takes part in no maintenance"
+            )
 
     def _check_peers(self, peers: tuple[Address, ...]) -> None:
-        """Reject a list that moves this front: fronts identify each other by their positions in it."""
+        """Reject a list of peers that moves this front: fronts identify each other by their positions."""
         own = self.target.own_peer
-        present = self.target.active_configuration().peers
+        active_peers = self.target.active_configuration().peers
         if own is None:
-            raise ConfigurationRejectedError("it lists peers, and this front was started without")
+            raise ConfigurationRejectedError("it lists peers, but this front was started without peers")
         if own not in peers:
-            raise ConfigurationRejectedError(f"its peers lack this front, {own[0]}:{own[1]}")
-        if own in present and peers.index(own) != present.index(own):
-            positions = f"from place {present.index(own)} to {peers.index(own)}"
+            raise ConfigurationRejectedError(f"its peers do not include this front, {own[0]}:{own[1]}")
+        if own in active_peers and peers.index(own) != active_peers.index(own):
+            positions = f"from position {active_peers.index(own)} to {peers.index(own)}"
             raise ConfigurationRejectedError(f"it moves this front {positions} in the list of peers")
 
-    def _changes(self, region: RegionConfiguration) -> ConfigurationChanges:
-        present = self.target.active_configuration()
-        discovery_changes = region.discovery not in (None, present.discovery)
+    def _find_changes(self, region: RegionConfiguration) -> ConfigurationChanges:
+        active = self.target.active_configuration()
+        discovery_changes = region.discovery not in (None, active.discovery)
         peers_change = region.peers and (
-            region.peers != present.peers or region.peers_all not in (None, present.peers_all)
+            region.peers != active.peers or region.peers_all not in (None, active.peers_all)
         )
         plan_changes = region.maintenance and region.maintenance.encoded != self.applied_plan
         return ConfigurationChanges(
--- a/marbleglade/control/configuration/versions.py
+++ b/marbleglade/control/configuration/versions.py
@@ -1,4 +1,4 @@
-"""Which configuration version is in force at a front, without I/O. Versions never decrease."""
+"""Tracks which configuration version is in force at a front. Versions never decrease. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class ConfigurationVersions:
-    """Applies new configuration versions, and returns what to answer to the control nodes.
+    """Applies new configuration versions, and returns the replies to the control nodes.
 
     Args:
-        configure: Applies a document; raises `ConfigurationRejectedError` if it can't, and changes nothing
-            then.
+        configure: Applies a document. If it can't, it changes nothing and raises
+            `ConfigurationRejectedError`.
 
     Attributes:
-        in_force: The version that was applied last; 0: none.
-        last_rejected: The answer to the newest version if the front rejected it.
+        in_force: The version that was applied last; 0 before the first one.
+        last_rejected: The rejection of the newest version; None if that version was applied.
     """
 
     def __init__(self, configure: Callable[[int, str], None]) -> None:
@@ -26,7 +26,7 @@
         self.last_rejected: ConfigurationRejected | None = None
 
     def handle_event(self, event: ConfigurationEvent) -> ConfigurationApplied | ConfigurationRejected | None:
-        """Apply a version if it is new; return the answer, None to an outdated version."""
+        """Apply a version if it is new; return the reply, None for an outdated version."""
         if event.version < self.in_force:
             return None
         if event.version == self.in_force:
--- a/tests/control/configuration/test_document.py
+++ b/tests/control/configuration/test_document.py
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize(
     ("change", "expected"),
     [
-        (('"shop"', '"other"'), "deployment: 'other', and this is 'shop'"),
+        (('"shop"', '"other"'), "deployment: 'other', expected 'shop'"),
         (("base_version", "version"), 'no field named "version"'),
         (("base_version: 4", f"base_version: {1 << 60}"), "base_version"),
         (("base_version: 4", "base_version: -1"), "base_version"),
@@ -81,7 +81,7 @@
         (("asked_ms: 1800000000000", "asked_ms: 5"), "work: asked_ms"),
         (("front: 1", "front: 2"), "work: job names front 2, and there are 2 peers"),
         (("front: 1", 'place: "a\\nb" after: "c"'), "work: a b comes after c"),
-        (('peer: "127.0.0.1:7001" peer: "127.0.0.1:7002"', ""), "peers_all: it is told without peers"),
+        (('peer: "127.0.0.1:7001" peer: "127.0.0.1:7002"', ""), "peers_all: set without a list of peers"),
     ],
 )
 def test_each_error_names_its_field(change, expected, control):
@@ -172,13 +172,13 @@
 @pytest.mark.parametrize(
     ("front", "version", "text", "reason"),
     [
-        (Front(("127.0.0.1", 7009)), 5, EAST, "its peers lack this front, 127.0.0.1:7009"),
-        (Front(None), 5, EAST, "this front was started without"),
-        (Front(has_maintenance=False), 5, EAST, "takes part in none"),
-        (Front(), 5, MOVED, "moves this front from place 0 to 1 in the list of peers"),
-        (Front(), 6, EAST, "says version 5, not 6"),
+        (Front(("127.0.0.1", 7009)), 5, EAST, "its peers do not include this front, 127.0.0.1:7009"),
+        (Front(None), 5, EAST, "this front was started without peers"),
+        (Front(has_maintenance=False), 5, EAST, "takes part in no maintenance"),
+        (Front(), 5, MOVED, "moves this front from position 0 to 1 in the list of peers"),
+        (Front(), 6, EAST, "has version 5, expected 6"),
         (Front(), 5, EAST.replace("shop", "other"), "deployment"),
-        (Front(), 3, EAST, "older than 4 in force"),
+        (Front(), 3, EAST, "version 3 is older than version 4, which is in force"),
     ],
 )
 def test_a_front_that_cannot_use_a_document_rejects_it_and_changes_nothing(
