--- a/tests/control/configuration/conftest.py
+++ b/tests/control/configuration/conftest.py
@@ -1,4 +1,4 @@
-"""Control nodes with stores as processes."""
+"""Fixtures for tests of configuration among control nodes."""
 
 import pytest
 
--- a/tests/control/configuration/proxied_nodes.py
+++ b/tests/control/configuration/proxied_nodes.py
@@ -1,4 +1,4 @@
-"""Three control nodes as processes with stores, and proxies between them that hold messages back."""
+"""Three control nodes as processes with stores, and proxies between them that can hold back messages."""
 
 import json
 from contextlib import suppress
@@ -17,8 +17,8 @@
 from tests.harness.waiting import wait_until
 
 NODES = ("c0", "c1", "c2")
-WAIT_LIMIT_S = 30.0  # for one step, also on a busy machine
-FRONT = "n3"  # its name in `front_configuration`
+WAIT_LIMIT_S = 30.0  # for one step; generous, so that a busy machine meets it
+FRONT = "n3"  # the name of the front in `front_configuration`
 
 
 def document(base_version, port=9100):
@@ -27,7 +27,12 @@
 
 
 class HoldingProxy(ConnectionServer):
-    """Forwards what is written to one node; with `hold_from`, holds back everything from those bytes on."""
+    """Forwards the bytes of its connections to one node, and can hold them back.
+
+    Attributes:
+        hold_from: The proxy holds back the first read with these bytes and all later reads; None: no read.
+        held_back: The bytes held back on all connections.
+    """
 
     def __init__(self, target):
         self.target = target
@@ -36,7 +41,7 @@
 
     def _read(self, sock):
         with sock, socket.create_connection(self.target, 5.0) as outgoing:
-            self.readers.append(gevent.spawn(self._close_with, sock, outgoing))
+            self.readers.append(gevent.spawn(self._close_when_node_closes, sock, outgoing))
             while data := sock.recv(1 << 16):
                 if self.hold_from and (self.held_back or self.hold_from in data):
                     self.held_back += data
@@ -44,15 +49,15 @@
                     outgoing.sendall(data)
 
     @staticmethod
-    def _close_with(incoming, outgoing):
-        """A node writes nothing on a connection that it accepted: only its end can be read."""
+    def _close_when_node_closes(incoming, outgoing):
+        """Shuts `incoming` down once `outgoing` ends. A node writes nothing on connections it accepted."""
         with suppress(OSError):
             outgoing.recv(1)
         with suppress(OSError):
             incoming.shutdown(socket.SHUT_RDWR)
 
     def release(self):
-        """Ends every connection with what is held back; from now on everything is forwarded."""
+        """Closes all connections and discards the bytes held back; new connections are forwarded."""
         gevent.killall(self.readers)
         self.readers.clear()
         self.hold_from = None
@@ -60,7 +65,7 @@
 
 
 class ProxiedNodes(NodeProcesses):
-    """Three control nodes. Each connects to the others through proxies of its own."""
+    """Three control nodes. Each node connects to the other two through a separate proxy for each."""
 
     def __init__(self, folder, discovery=None):
         super().__init__(folder, optimize=False)
@@ -74,17 +79,17 @@
         }
         for name in NODES:
             self.settings_file(name).write_text(self.settings_text(name))
-        self.operators_file = folder / "operators.textproto"
-        self.operators_file.write_text(self.settings_text(None))
-        self.settings = control_settings_reader.read(str(self.operators_file))
-        environment = {"MARBLEGLADE_CONTROL": str(self.operators_file)}
+        self.operator_settings_file = folder / "operators.textproto"
+        self.operator_settings_file.write_text(self.settings_text(None))
+        self.settings = control_settings_reader.read(str(self.operator_settings_file))
+        environment = {"MARBLEGLADE_CONTROL": str(self.operator_settings_file)}
         self.front = FrontProcess(folder, WAIT_LIMIT_S, environment, optimize=False)
 
     def settings_file(self, name):
         return self.folder / f"{name}.textproto"
 
     def settings_text(self, reader):
-        """The settings of one node, with its proxies as addresses of the others; None: of operators."""
+        """Returns settings for a node, with its proxies as addresses of the others; None: for operators."""
         addresses = {
             name: (
                 address,
@@ -111,30 +116,30 @@
     def propose(self, text, timeout=WAIT_LIMIT_S):
         return Proposer(self.settings, text, timeout).run()
 
-    def wait_for(self, field, value, *names):
-        """Waits until that is the last value of the field on the log of each node, or of those named."""
+    def wait_for_logged(self, field, value, *names):
+        """Waits until the last value of the log field is `value` on these nodes, or on all running nodes."""
         wait_until(
             lambda: all(self.log(name).last_value(field) == value for name in names or self.running),
             WAIT_LIMIT_S,
             interval=0.05,
         )
 
-    def node_held_back(self, end):
-        """The node of which both proxies that begin (0) or end (1) at it hold something back."""
+    def node_with_held_messages(self, end):
+        """Returns the node with held messages in both proxies from it (`end` 0) or to it (1); else None."""
         for name in NODES:
             if all(proxy.held_back for ends, proxy in self.proxies.items() if ends[end] == name):
                 return name
         return None
 
     def start_front(self):
-        """A front that follows these nodes."""
+        """Starts a front that is connected to these nodes."""
         listen, discovery = address_text(free_address()), address_text(self.discovery)
         self.front.configure(front_configuration(listen=listen, coordinator=discovery))
         self.front.start()
 
-    def configuration(self):
-        """What the status command says of the newest version."""
-        return json.loads(run_program("control", "status", self.operators_file, "--json").stdout)[
+    def configuration_status(self):
+        """Returns the configuration part of the status that the command line reports."""
+        return json.loads(run_program("control", "status", self.operator_settings_file, "--json").stdout)[
             "configuration"
         ]
 
--- a/tests/control/configuration/test_document.py
+++ b/tests/control/configuration/test_document.py
@@ -1,4 +1,4 @@
-"""The configuration document: the errors that reject it, and what a front applies of a valid one."""
+"""Configuration documents: errors for which they are rejected, and changes that a front applies."""
 
 import subprocess
 import sys
@@ -20,14 +20,14 @@
 )
 from marbleglade.control.messages import MAX_CONFIGURATION_BYTES
 
-SETTINGS = """
+CONTROL_SETTINGS = """
 deployment: "shop"
 region { name: "east" discovery: "127.0.0.1:9092" front: "east-[0-1]" }
 region { name: "west" discovery: "127.0.0.1:9093" front: "west-0" }
 node { name: "c1" region: "east" zone: "a" address: "127.0.0.1:9401" quorum_address: "127.0.0.1:9501" }
 """
-WORK = "work { asked_ms: 1800000000000 job { front: 1 } }"
-EAST = f"""
+MAINTENANCE_PLAN = "work { asked_ms: 1800000000000 job { front: 1 } }"
+EAST_DOCUMENT = f"""
 deployment: "shop"
 base_version: 4
 region {{
@@ -35,30 +35,30 @@
   discovery: "127.0.0.1:9192"
   peer: "127.0.0.1:7001" peer: "127.0.0.1:7002"
   peers_all: "127.0.0.1:7000"
-  {WORK}
+  {MAINTENANCE_PLAN}
 }}
 """
-MOVED = EAST.replace("7001", "7003").replace("7002", "7001")
-OWN = ("127.0.0.1", 7001)
-DISCOVERY = ("127.0.0.1", 9092)
+EAST_WITH_FRONT_MOVED = EAST_DOCUMENT.replace("7001", "7003").replace("7002", "7001")
+OWN_PEER = ("127.0.0.1", 7001)
+DISCOVERY_ADDRESS = ("127.0.0.1", 9092)
 
 
 @pytest.fixture
-def control(tmp_path):
+def control_settings(tmp_path):
     path = tmp_path / "control.textproto"
-    path.write_text(SETTINGS)
+    path.write_text(CONTROL_SETTINGS)
     return settings.read(str(path))
 
 
-def errors_of(text, control):
+def errors_of(text, control_settings):
     with pytest.raises(InvalidDocumentError) as caught:
-        read(text, control)
+        read(text, control_settings)
     assert all("\n" not in error for error in caught.value.errors)
     return caught.value.errors
 
 
-def test_a_valid_document_is_read_completely(control):
-    document = read(EAST, control)
+def test_a_valid_document_is_read_completely(control_settings):
+    document = read(EAST_DOCUMENT, control_settings)
     assert isinstance(document, Configuration) and document.version == 5
     east = document.region("east")
     assert east.discovery == ("127.0.0.1", 9192) and len(east.peers) == 2
@@ -84,15 +84,15 @@
         (('peer: "127.0.0.1:7001" peer: "127.0.0.1:7002"', ""), "peers_all: set without a list of peers"),
     ],
 )
-def test_each_error_names_its_field(change, expected, control):
-    assert change[0] in EAST
-    assert expected in "; ".join(errors_of(EAST.replace(*change), control))
+def test_an_error_names_the_invalid_field(change, expected, control_settings):
+    assert change[0] in EAST_DOCUMENT
+    assert expected in "; ".join(errors_of(EAST_DOCUMENT.replace(*change), control_settings))
 
 
-def test_all_errors_are_listed_at_once(control):
-    text = EAST.replace("base_version", "colour").replace("here", "").replace('"shop"', '"other"')
+def test_all_errors_are_listed_at_once(control_settings):
+    text = EAST_DOCUMENT.replace("base_version", "colour").replace("here", "").replace('"shop"', '"other"')
     text = text.replace("127.0.0.1:9192", "nowhere") + 'region { name: "east" }'
-    found = errors_of(text, control)
+    found = errors_of(text, control_settings)
     assert len(found) == 4
     for text in ("colour", "deployment", "discovery", "listed twice"):
         assert any(text in error for error in found)
@@ -112,21 +112,23 @@
         "#" * (MAX_CONFIGURATION_BYTES + 1),
     ],
 )
-def test_text_that_is_no_document_is_rejected(text, control):
-    assert errors_of(text, control)
+def test_text_that_is_not_a_document_is_rejected(text, control_settings):
+    assert errors_of(text, control_settings)
 
 
-def test_a_document_of_the_maximum_length_is_read_and_one_byte_more_is_not(control):
-    text = EAST + "#" * (MAX_CONFIGURATION_BYTES - len(EAST))
-    assert read(text, control).base_version == 4
-    assert errors_of(text + "#", control) == [f"it has {MAX_CONFIGURATION_BYTES + 1} bytes, 65536 at most"]
+def test_a_document_of_the_maximum_length_is_read_and_one_byte_more_is_not(control_settings):
+    text = EAST_DOCUMENT + "#" * (MAX_CONFIGURATION_BYTES - len(EAST_DOCUMENT))
+    assert read(text, control_settings).base_version == 4
+    assert errors_of(text + "#", control_settings) == [
+        f"it has {MAX_CONFIGURATION_BYTES + 1} bytes, 65536 at most"
+    ]
 
 
-class Front:
-    """Records the calls of a front's callbacks."""
+class RecordingFront:
+    """The callbacks of a front, which record their calls."""
 
-    def __init__(self, own_peer=OWN, has_maintenance=True):
-        self.active = ActiveConfiguration(DISCOVERY, (OWN,), None)
+    def __init__(self, own_peer=OWN_PEER, has_maintenance=True):
+        self.active = ActiveConfiguration(DISCOVERY_ADDRESS, (OWN_PEER,), None)
         self.calls = []
         self.target = ConfigurationTarget(
             lambda: self.active,
@@ -138,60 +140,72 @@
             else None,
         )
 
-    def configurator(self, control, region="east"):
-        return Configurator(control, region, self.target)
+    def configurator(self, control_settings, region="east"):
+        return Configurator(control_settings, region, self.target)
 
 
-def test_a_front_applies_each_change_once(control):
-    front = Front()
-    configurator = front.configurator(control)
-    changes = configurator.configure(5, EAST)
+def test_a_front_applies_each_change_once(control_settings):
+    front = RecordingFront()
+    configurator = front.configurator(control_settings)
+    changes = configurator.configure(5, EAST_DOCUMENT)
     assert changes.discovery == ("127.0.0.1", 9192) and configurator.version == 5
     assert front.calls == [
-        ("peers", [OWN, ("127.0.0.1", 7002)], ("127.0.0.1", 7000)),
+        ("peers", [OWN_PEER, ("127.0.0.1", 7002)], ("127.0.0.1", 7000)),
         ("maintenance", 1),
         ("discovery", ("127.0.0.1", 9192)),
     ]
     front.calls.clear()
-    assert configurator.configure(5, EAST) == ConfigurationChanges() and not front.calls
-    front.active = ActiveConfiguration(("127.0.0.1", 9192), (OWN, ("127.0.0.1", 7002)), ("127.0.0.1", 7000))
+    assert configurator.configure(5, EAST_DOCUMENT) == ConfigurationChanges() and not front.calls
+    front.active = ActiveConfiguration(
+        ("127.0.0.1", 9192), (OWN_PEER, ("127.0.0.1", 7002)), ("127.0.0.1", 7000)
+    )
     assert (
-        configurator.configure(6, EAST.replace("base_version: 4", "base_version: 5"))
+        configurator.configure(6, EAST_DOCUMENT.replace("base_version: 4", "base_version: 5"))
         == ConfigurationChanges()
     )
     assert not front.calls and configurator.version == 6
 
 
-def test_a_document_without_the_fronts_region_is_in_force_and_changes_nothing(control):
-    front = Front()
-    configurator = front.configurator(control, "west")
-    assert configurator.configure(5, EAST) == ConfigurationChanges()
+def test_a_document_without_the_region_of_the_front_is_in_force_and_changes_nothing(control_settings):
+    front = RecordingFront()
+    configurator = front.configurator(control_settings, "west")
+    assert configurator.configure(5, EAST_DOCUMENT) == ConfigurationChanges()
     assert configurator.version == 5 and not front.calls
 
 
 @pytest.mark.parametrize(
     ("front", "version", "text", "reason"),
     [
-        (Front(("127.0.0.1", 7009)), 5, EAST, "its peers do not include this front, 127.0.0.1:7009"),
-        (Front(None), 5, EAST, "this front was started without peers"),
-        (Front(has_maintenance=False), 5, EAST, "takes part in no maintenance"),
-        (Front(), 5, MOVED, "moves this front from position 0 to 1 in the list of peers"),
-        (Front(), 6, EAST, "has version 5, expected 6"),
-        (Front(), 5, EAST.replace("shop", "other"), "deployment"),
-        (Front(), 3, EAST, "version 3 is older than version 4, which is in force"),
+        (
+            RecordingFront(("127.0.0.1", 7009)),
+            5,
+            EAST_DOCUMENT,
+            "its peers do not include this front, 127.0.0.1:7009",
+        ),
+        (RecordingFront(None), 5, EAST_DOCUMENT, "this front was started without peers"),
+        (RecordingFront(has_maintenance=False), 5, EAST_DOCUMENT, "takes part in no maintenance"),
+        (
+            RecordingFront(),
+            5,
+            EAST_WITH_FRONT_MOVED,
+            "moves this front from position 0 to 1 in the list of peers",
+        ),
+        (RecordingFront(), 6, EAST_DOCUMENT, "has version 5, expected 6"),
+        (RecordingFront(), 5, EAST_DOCUMENT.replace("shop", "other"), "deployment"),
+        (RecordingFront(), 3, EAST_DOCUMENT, "version 3 is older than version 4, which is in force"),
     ],
 )
-def test_a_front_that_cannot_use_a_document_rejects_it_and_changes_nothing(
-    front, version, text, reason, control
+def test_a_front_that_cannot_apply_a_document_rejects_it_and_changes_nothing(
+    front, version, text, reason, control_settings
 ):
-    configurator = front.configurator(control)
+    configurator = front.configurator(control_settings)
     configurator.version = 4
     with pytest.raises(ConfigurationRejectedError, match=reason):
         configurator.configure(version, text)
     assert not front.calls and configurator.version == 4
 
 
-def test_a_front_without_a_control_plane_imports_none_of_it():
+def test_a_front_without_a_control_plane_does_not_import_its_modules():
     code = "import sys, marbleglade.service.front_process; print(*sys.modules)"
     modules = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout
     assert "marbleglade.control" not in modules and "google.protobuf" not in modules
--- a/tests/control/configuration/test_processes.py
+++ b/tests/control/configuration/test_processes.py
@@ -1,4 +1,4 @@
-"""Configuration among control nodes as processes: the front that follows them, and invalid messages."""
+"""Control nodes as processes: invalid messages, and a front that applies and rejects configurations."""
 
 from gevent import socket
 
@@ -12,7 +12,7 @@
 LOCAL = "127.0.0.1"
 
 
-def test_invalid_messages_end_their_own_connection_alone(nodes):
+def test_an_invalid_message_closes_only_its_own_connection(nodes):
     nodes.start(*NODES)
     leader = nodes.wait_for_leader()
     other_deployment = encode(ReplicaHello("other", "c1")) + encode(Prepare(Ballot(99, 1)))
@@ -37,7 +37,7 @@
     assert nodes.log(leader).last_value("term") < 9
 
 
-def test_a_front_applies_versions_and_the_status_has_its_reason_for_a_rejection(tmp_path):
+def test_a_front_applies_versions_and_the_status_shows_why_it_rejected_one(tmp_path):
     discovery = DiscoveryService()
     discovery.announce_address("k", (LOCAL, 9), "box", full_list=True, started_ms=1)
     nodes = ProxiedNodes(tmp_path, discovery.address)
@@ -46,18 +46,18 @@
         nodes.wait_for_leader()
         nodes.start_front()
         assert nodes.propose(document(0)) == ProposalAccepted(1)
-        wait_until(lambda: nodes.configuration()["done"], WAIT_LIMIT_S, interval=0.1)
+        wait_until(lambda: nodes.configuration_status()["done"], WAIT_LIMIT_S, interval=0.1)
         with_peers = document(1).replace("}", 'peer: "127.0.0.1:9" }')
         assert nodes.propose(with_peers) == ProposalAccepted(2)
-        wait_until(lambda: nodes.configuration()["refused"], WAIT_LIMIT_S, interval=0.1)
-        status = nodes.configuration()
+        wait_until(lambda: nodes.configuration_status()["refused"], WAIT_LIMIT_S, interval=0.1)
+        status = nodes.configuration_status()
         assert status["version"] == 2 and not status["done"]
         assert status["lacking"]["first"] == [FRONT]
         reason = "it lists peers, but this front was started without peers"
         assert status["refused"] == [{"front": FRONT, "version": 2, "reason": reason}]
         assert nodes.propose(document(2)) == ProposalAccepted(3)
-        wait_until(lambda: nodes.configuration()["done"], WAIT_LIMIT_S, interval=0.1)
-        assert not nodes.configuration()["refused"]
+        wait_until(lambda: nodes.configuration_status()["done"], WAIT_LIMIT_S, interval=0.1)
+        assert not nodes.configuration_status()["refused"]
     finally:
         nodes.close()
         discovery.close()
--- a/tests/control/configuration/test_versions.py
+++ b/tests/control/configuration/test_versions.py
@@ -1,11 +1,11 @@
-"""Which configuration version is in force at a front, and what it answers to the control nodes."""
+"""The configuration version in force at a front, and the front's replies to the control nodes."""
 
 from marbleglade.control.configuration.document import ConfigurationRejectedError
 from marbleglade.control.configuration.versions import ConfigurationVersions
 from marbleglade.control.messages import ConfigurationApplied, ConfigurationEvent, ConfigurationRejected
 
 
-class Front:
+class FakeFront:
     def __init__(self, rejected=()):
         self.applied, self.rejected = [], rejected
 
@@ -15,16 +15,16 @@
         self.applied.append(version)
 
 
-def test_versions_never_decrease_and_each_node_is_answered_with_the_one_in_force():
-    front = Front()
+def test_versions_never_decrease_and_the_reply_to_each_node_is_the_version_in_force():
+    front = FakeFront()
     versions = ConfigurationVersions(front.configure)
     answers = [versions.handle_event(ConfigurationEvent(1, version, "t")) for version in (3, 3, 2, 5)]
     assert answers == [ConfigurationApplied(3), ConfigurationApplied(3), None, ConfigurationApplied(5)]
     assert front.applied == [3, 5]
 
 
-def test_each_node_is_answered_with_the_rejection_and_the_last_good_version_stays():
-    front = Front(rejected=(4,))
+def test_the_reply_to_each_node_is_the_rejection_and_the_last_applied_version_stays():
+    front = FakeFront(rejected=(4,))
     versions = ConfigurationVersions(front.configure)
     answers = [versions.handle_event(ConfigurationEvent(1, version, "t")) for version in (3, 4, 4, 3, 5)]
     rejected = ConfigurationRejected(4, "no 4")
@@ -38,7 +38,7 @@
     assert front.applied == [3, 5] and versions.in_force == 5
 
 
-def test_a_document_that_raises_in_the_front_is_rejected():
+def test_a_document_for_which_the_front_raises_an_exception_is_rejected():
     def configure(_version, _text):
         raise RuntimeError("broken")
 
--- a/tests/control/quorum/cluster.py
+++ b/tests/control/quorum/cluster.py
@@ -1,7 +1,7 @@
-"""Replicas of the quorum in simulated time, and the network between them.
+"""A cluster of quorum replicas in simulated time, with their stores and network, that checks guarantees.
 
-One version has one document, acknowledged versions are never lost, versions never decrease, and a minority
-accepts nothing.
+The guarantees: a version has only one document, acknowledged versions are never lost, versions never
+decrease, messages reveal only durable state, and no version is acknowledged without a majority.
 """
 
 from collections import deque
@@ -12,8 +12,8 @@
 from marbleglade.control.quorum.replica import Replica, Role
 from marbleglade.control.quorum.state import DurableState, Value
 
-HEARTBEAT = 100
-MAX_MESSAGES_IN_FLIGHT = 400  # messages
+HEARTBEAT_INTERVAL = 100
+MAX_MESSAGES_IN_FLIGHT = 400
 
 
 class ViolationError(Exception):
@@ -26,23 +26,35 @@
 
 
 class Cluster:
-    """Replicas, the network between them and their stores. Checks what is published and acknowledged."""
+    """Replicas with their stores and network; checks all messages, published values and outcomes.
+
+    Attributes:
+        stores: The durable state of each node.
+        replicas: The running replicas by node name.
+        network: The messages in flight, as sender, recipient and message.
+        partitions: The pairs of nodes between which messages are dropped.
+        crash_at: The node to crash, and the index of the effect before which it crashes.
+        published_versions: The last version that each node published.
+        final_values: The first value that was published or acknowledged for each version.
+        outcomes: The outcome of each resolved proposal, by key.
+        proposed_values: The value of each proposal, by key.
+    """
 
     def __init__(self, count):
         self.names = tuple(f"c{number}" for number in range(count))
         self.majority = count // 2 + 1
-        self.now, self.store_count, self.key = 0, 0, 0
-        self.durable: dict[str, DurableState] = {}
+        self.now, self.store_count, self.last_key = 0, 0, 0
+        self.stores: dict[str, DurableState] = {}
         self.replicas: dict[str, Replica] = {}
         self.network: deque[tuple[str, str, object]] = deque()
         self.partitions: set[frozenset[str]] = set()
-        self.crash_at: tuple[str, int] | None = None  # the node, and before which of its next effects
-        self.published: dict[str, int] = {}
-        self.documents: dict[int, Value] = {}
+        self.crash_at: tuple[str, int] | None = None
+        self.published_versions: dict[str, int] = {}
+        self.final_values: dict[int, Value] = {}
         self.outcomes: dict[int, object] = {}
-        self.proposed: dict[int, Value] = {}
+        self.proposed_values: dict[int, Value] = {}
         for name in self.names:
-            self.durable[name] = self.new_store()
+            self.stores[name] = self.new_store()
             self.start(name)
 
     def new_store(self):
@@ -50,17 +62,17 @@
         return DurableState(f"store{self.store_count}")
 
     def start(self, name):
-        self.replicas[name] = Replica(name, self.names, self.durable[name], HEARTBEAT, self.now)
-        if self.durable[name].chosen.version:
-            self.publish(name, self.durable[name].chosen)
+        self.replicas[name] = Replica(name, self.names, self.stores[name], HEARTBEAT_INTERVAL, self.now)
+        if self.stores[name].chosen.version:
+            self.publish(name, self.stores[name].chosen)
 
     def crash(self, name):
         del self.replicas[name]
 
     def lose_store(self, name):
         self.replicas.pop(name, None)
-        self.durable[name] = self.new_store()
-        self.published[name] = 0
+        self.stores[name] = self.new_store()
+        self.published_versions[name] = 0
         self.start(name)
 
     def execute_effects(self, name, effects):
@@ -82,8 +94,8 @@
                     self.resolve(key, outcome)
 
     def require_durable(self, name, message):
-        """Checks that the state a message reveals is in its sender's store."""
-        state = self.durable[name]
+        """Checks that the sender's store contains the state that a message reveals."""
+        state = self.stores[name]
         guarantee = "what is sent is durable"
         match message:
             case messages.Promise(ballot, _):
@@ -94,36 +106,36 @@
                 require(state.chosen.version >= value.version, guarantee)
 
     def persist(self, name, state):
-        self.durable[name] = state
+        self.stores[name] = state
 
     def publish(self, name, value):
-        require(value.version >= self.published.get(name, 0), "versions never decrease")
-        self.published[name] = value.version
-        self.require_one_document(value)
+        require(value.version >= self.published_versions.get(name, 0), "versions never decrease")
+        self.published_versions[name] = value.version
+        self.require_one_value_per_version(value)
 
-    def require_one_document(self, value):
-        first = self.documents.setdefault(value.version, value)
+    def require_one_value_per_version(self, value):
+        first = self.final_values.setdefault(value.version, value)
         require(first == value, "one version has one document")
 
     def resolve(self, key, outcome):
-        assert key not in self.outcomes, "two outcomes"
+        assert key not in self.outcomes, "a proposal has two outcomes"
         self.outcomes[key] = outcome
         if isinstance(outcome, ProposalAccepted):
-            value = self.proposed[key]
+            value = self.proposed_values[key]
             assert value.version == outcome.version
-            self.require_one_document(value)
+            self.require_one_value_per_version(value)
             storing = [
-                name for name, state in self.durable.items() if state.accepted.value.version >= value.version
+                name for name, state in self.stores.items() if state.accepted.value.version >= value.version
             ]
             require(len(storing) >= self.majority, "a majority stores what is acknowledged")
 
     def propose(self, name, base):
-        self.key += 1
-        value = Value(base + 1, f"p{self.key}", f"text {self.key}")
-        self.proposed[self.key] = value
+        self.last_key += 1
+        value = Value(base + 1, f"p{self.last_key}", f"text {self.last_key}")
+        self.proposed_values[self.last_key] = value
         replica = self.replicas[name]
-        self.execute_effects(name, replica.propose(self.key, base, value.proposal_id, value.text))
-        return self.key
+        self.execute_effects(name, replica.propose(self.last_key, base, value.proposal_id, value.text))
+        return self.last_key
 
     def deliver(self, index, duplicate=False):
         sender, recipient, message = self.network[index]
@@ -137,8 +149,8 @@
             self.execute_effects(name, self.replicas[name].tick(self.now))
 
     def run_round(self):
-        """A quarter of a heartbeat interval: every replica ticks, and every message is delivered."""
-        self.now += HEARTBEAT // 4
+        """Advances time by a quarter of a heartbeat interval; ticks all replicas, delivers all messages."""
+        self.now += HEARTBEAT_INTERVAL // 4
         for name in self.names:
             self.tick(name)
         for _ in range(len(self.network)):
@@ -148,12 +160,12 @@
         for _ in range(rounds):
             self.run_round()
 
-    def until(self, condition, rounds=400):
+    def run_until(self, condition, rounds=400):
         for _ in range(rounds):
             if condition():
                 return
             self.run_round()
-        raise AssertionError("the condition did not become true")
+        raise AssertionError("the condition did not become true in time")
 
     def leader(self):
         leaders = [
@@ -171,8 +183,8 @@
             if (other in names) < (name in names)
         }
 
-    def converged(self):
-        """Whether all replicas vote and know the same version, and no vote is in progress."""
+    def has_converged(self):
+        """Whether all replicas are voters with the same chosen version, and no round is active."""
         leader = self.replicas.get(self.leader())
         if not leader or leader.leadership.active_round:
             return False
@@ -180,8 +192,8 @@
         return len(versions) == 1 and all(replica.state.voter for replica in self.replicas.values())
 
 
-def started(count=3):
+def converged_cluster(count=3):
     cluster = Cluster(count)
-    cluster.until(cluster.converged)
+    cluster.run_until(cluster.has_converged)
     cluster.run(8)  # every follower received a heartbeat
     return cluster
--- a/tests/control/quorum/faulty_clusters.py
+++ b/tests/control/quorum/faulty_clusters.py
@@ -1,4 +1,4 @@
-"""Clusters with injected faults, which the checks of the cluster must find."""
+"""Clusters with one injected fault each, which the checks of `Cluster` must detect."""
 
 from dataclasses import replace
 
@@ -8,29 +8,29 @@
 
 
 class VoteNotDurable(Cluster):
-    """An accepted value is not written."""
+    """Does not write accepted values to the store."""
 
     def persist(self, name, state):
-        super().persist(name, replace(state, accepted=self.durable[name].accepted))
+        super().persist(name, replace(state, accepted=self.stores[name].accepted))
 
 
 class PromiseNotDurable(Cluster):
-    """A promise is not written, unless a vote implies it."""
+    """Does not write promises to the store, except those that a vote implies."""
 
     def persist(self, name, state):
-        promised = max(self.durable[name].promised, state.accepted.ballot)
+        promised = max(self.stores[name].promised, state.accepted.ballot)
         super().persist(name, replace(state, promised=promised))
 
 
 class AcknowledgedBeforeDurable(Cluster):
-    """Messages are sent before the state that they depend on is written."""
+    """Sends messages before it writes the state that they depend on."""
 
     def execute_effects(self, name, effects):
         super().execute_effects(name, sorted(effects, key=lambda effect: isinstance(effect, Persist)))
 
 
 class MajorityOffByOne(Cluster):
-    """Half of the nodes, rounded down, counts as a majority."""
+    """Counts half of the nodes, rounded down, as a majority."""
 
     def start(self, name):
         super().start(name)
@@ -38,7 +38,7 @@
 
 
 class LostStoreVotesAtOnce(Cluster):
-    """A replica that lost its store votes at once."""
+    """Lets a replica that lost its store vote at once."""
 
     def new_store(self):
         state = super().new_store()
@@ -46,7 +46,7 @@
 
 
 class BaseVersionIgnored(Cluster):
-    """A proposal is put to the vote whatever version it replaces."""
+    """Starts a round for a proposal without checking its base version."""
 
     def start(self, name):
         super().start(name)
--- a/tests/control/quorum/quorum_machine.py
+++ b/tests/control/quorum/quorum_machine.py
@@ -1,15 +1,15 @@
-"""State machines of the quorum: losses, crashes and partitions that hypothesis draws."""
+"""State machines in which hypothesis draws message losses, crashes and partitions of a quorum."""
 
 from hypothesis import settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from marbleglade.control.quorum.messages import ProposalAccepted
 from marbleglade.control.quorum.replica import Role
-from tests.control.quorum.cluster import HEARTBEAT, Cluster, require
+from tests.control.quorum.cluster import HEARTBEAT_INTERVAL, Cluster, require
 
 
 class QuorumMachine(RuleBasedStateMachine):
-    """Rules that hypothesis draws; the cluster's own checks hold throughout."""
+    """Applies rules that hypothesis draws to a cluster, which checks its guarantees at each step."""
 
     sizes = (3, 5)
     cluster_class = Cluster
@@ -17,7 +17,7 @@
     @initialize(data=strategies.data())
     def start_cluster(self, data):
         self.cluster = self.cluster_class(data.draw(strategies.sampled_from(self.sizes)))
-        self.cluster.until(self.cluster.leader)
+        self.cluster.run_until(self.cluster.leader)
 
     def member(self, index):
         return self.cluster.names[index % len(self.cluster.names)]
@@ -26,7 +26,7 @@
 
     @rule(index=indices, steps=strategies.integers(1, 30))
     def advance_time(self, index, steps):
-        self.cluster.now += steps * HEARTBEAT // 4
+        self.cluster.now += steps * HEARTBEAT_INTERVAL // 4
         self.cluster.tick(self.member(index))
 
     @rule(count=strategies.integers(1, 12))
@@ -68,8 +68,8 @@
 
     @rule(index=indices)
     def lose_store(self, index):
-        """One store at a time: the replica that lost the last one must vote again first."""
-        if all(state.voter for state in self.cluster.durable.values()):
+        """Loses a store if all replicas are voters, so that only one store at a time is lost."""
+        if all(state.voter for state in self.cluster.stores.values()):
             self.cluster.lose_store(self.member(index))
 
     @rule(indices=strategies.sets(indices, max_size=2))
@@ -87,21 +87,21 @@
         if not (cluster := getattr(self, "cluster", None)):
             return
         self.heal()
-        cluster.until(cluster.converged)
+        cluster.run_until(cluster.has_converged)
         version = cluster.replicas[cluster.leader()].state.chosen.version
-        require(version >= max(cluster.documents, default=0), "acknowledged versions are never lost")
-        for _ in range(3):  # a change of leaders may still be under way
-            cluster.until(cluster.converged)
+        require(version >= max(cluster.final_values, default=0), "acknowledged versions are never lost")
+        for _ in range(3):  # a leader change in progress can prevent acceptance
+            cluster.run_until(cluster.has_converged)
             leader = cluster.leader()
             key = cluster.propose(leader, cluster.replicas[leader].state.chosen.version)
-            cluster.until(lambda key=key: key in cluster.outcomes)
+            cluster.run_until(lambda key=key: key in cluster.outcomes)
             if isinstance(cluster.outcomes[key], ProposalAccepted):
                 return
         raise AssertionError("no proposal is accepted")
 
 
 class SafetyMachine(QuorumMachine):
-    """Checks safety only: a faulty quorum need not converge."""
+    """Checks only safety, as a cluster with an injected fault need not converge."""
 
     def teardown(self):
         if getattr(self, "cluster", None):
--- a/tests/control/quorum/test_codec.py
+++ b/tests/control/quorum/test_codec.py
@@ -1,4 +1,4 @@
-"""The JSON lines of quorum messages: their exact bytes, and the refusal of anything else."""
+"""The JSON lines of quorum messages: their exact bytes, and the rejection of all other lines."""
 
 from dataclasses import fields
 
@@ -7,7 +7,7 @@
 from marbleglade.control.quorum import codec, messages
 from marbleglade.control.quorum.state import Ballot, DurableState, FoundingMember, Value, Vote
 
-FULL = DurableState(
+LARGE_STATE = DurableState(
     "aa",
     True,
     (FoundingMember("c1", "aa"),),
@@ -20,8 +20,8 @@
 VOTE = Vote(Ballot(2, 0), VALUE)
 STATE = DurableState("aa", True, (FoundingMember("c1", "aa"),), BALLOT, VOTE, VALUE)
 
-# Printed by the encoder of commit e58eef3, before types and attributes were renamed.
-LINES = [
+# Output of the encoder at commit e58eef3, before types and attributes were renamed. It fixes the wire format.
+RECORDED_LINES = [
     (messages.StateRequest("s"), '["Inquiry",{"store":"s"}]'),
     (
         messages.StateReply("s", STATE),
@@ -62,15 +62,17 @@
 ]
 
 
-@pytest.mark.parametrize(("message", "line"), LINES, ids=[type(message).__name__ for message, _ in LINES])
-def test_the_line_of_a_message_keeps_its_bytes(message, line):
+@pytest.mark.parametrize(
+    ("message", "line"), RECORDED_LINES, ids=[type(message).__name__ for message, _ in RECORDED_LINES]
+)
+def test_messages_are_encoded_to_the_recorded_lines_and_decoded_from_them(message, line):
     data = line.encode() + b"\n"
     assert codec.encode(message) == data
     assert codec.decode(data) == message
 
 
-def test_every_message_has_a_line_above_and_every_field_a_key():
-    assert [type(message) for message, _ in LINES] == list(codec.MESSAGE_NAMES)
+def test_every_message_type_has_a_recorded_line_and_every_field_a_key():
+    assert [type(message) for message, _ in RECORDED_LINES] == list(codec.MESSAGE_NAMES)
     for kind, keys in codec.FIELD_KEYS.items():
         assert [field.name for field in fields(kind)] == list(keys)
 
@@ -78,14 +80,14 @@
 @pytest.mark.parametrize(
     "message",
     [
-        messages.StateReply("s", FULL),
+        messages.StateReply("s", LARGE_STATE),
         messages.Promise(Ballot(1, 2), Vote()),
         messages.Accept(Ballot(1, 0), Value(1, "p", "t")),
         messages.ProposalInvalid(("one", "two")),
         messages.ProposalOutcomeUnknown(),
     ],
 )
-def test_an_encoded_message_is_decoded_to_an_equal_one(message):
+def test_decoding_an_encoded_message_returns_an_equal_message(message):
     line = codec.encode(message)
     assert line.count(b"\n") == 1 and codec.decode(line) == message
 
@@ -111,6 +113,6 @@
         b"\xff",
     ],
 )
-def test_a_line_that_is_no_message_is_refused(line):
+def test_a_line_that_is_not_a_valid_message_is_rejected(line):
     with pytest.raises(codec.InvalidMessageError):
         codec.decode(line)
--- a/tests/control/quorum/test_replica.py
+++ b/tests/control/quorum/test_replica.py
@@ -1,4 +1,4 @@
-"""Single cases of the quorum's replicas in simulated time."""
+"""Single scenarios with quorum replicas in simulated time."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 )
 from marbleglade.control.quorum.replica import Role
 from marbleglade.control.quorum.state import Ballot
-from tests.control.quorum.cluster import HEARTBEAT, Cluster, ViolationError, started
+from tests.control.quorum.cluster import HEARTBEAT_INTERVAL, Cluster, ViolationError, converged_cluster
 from tests.control.quorum.faulty_clusters import LostStoreVotesAtOnce
 
 
@@ -22,41 +22,41 @@
     cluster.run(100)
     assert cluster.leader() is None
     cluster.start("c2")
-    cluster.until(cluster.converged)
-    assert len({state.founders for state in cluster.durable.values()}) == 1
+    cluster.run_until(cluster.has_converged)
+    assert len({state.founders for state in cluster.stores.values()}) == 1
 
 
 def test_a_proposal_is_chosen_and_all_replicas_learn_it():
-    cluster = started()
+    cluster = converged_cluster()
     key = cluster.propose(cluster.leader(), 0)
-    cluster.until(lambda: all(cluster.published.get(name) == 1 for name in cluster.names))
+    cluster.run_until(lambda: all(cluster.published_versions.get(name) == 1 for name in cluster.names))
     assert cluster.outcomes[key] == ProposalAccepted(1)
 
 
 def test_the_second_proposal_with_the_same_base_version_is_a_conflict():
-    cluster = started(5)
+    cluster = converged_cluster(5)
     first, second = (cluster.propose(cluster.leader(), 0) for _ in range(2))
-    cluster.until(lambda: second in cluster.outcomes)
+    cluster.run_until(lambda: second in cluster.outcomes)
     assert [cluster.outcomes[first], cluster.outcomes[second]] == [ProposalAccepted(1), ProposalConflict(1)]
 
 
 def test_a_retried_proposal_gets_the_same_outcome():
-    cluster = started()
+    cluster = converged_cluster()
     key = cluster.propose(cluster.leader(), 0)
-    cluster.until(lambda: key in cluster.outcomes)
-    value, leader = cluster.proposed[key], cluster.leader()
-    cluster.proposed[99] = value
+    cluster.run_until(lambda: key in cluster.outcomes)
+    value, leader = cluster.proposed_values[key], cluster.leader()
+    cluster.proposed_values[99] = value
     replica = cluster.replicas[leader]
     cluster.execute_effects(leader, replica.propose(99, 0, value.proposal_id, value.text))
     assert cluster.outcomes[99] == ProposalAccepted(1)
 
 
-def test_a_leader_without_majority_does_not_know_the_outcome_and_then_rejects():
-    cluster = started()
+def test_a_leader_without_majority_reports_an_unknown_outcome_and_rejects_later_proposals():
+    cluster = converged_cluster()
     leader = cluster.leader()
     cluster.isolate(leader)
     key = cluster.propose(leader, 0)
-    cluster.until(lambda: key in cluster.outcomes)
+    cluster.run_until(lambda: key in cluster.outcomes)
     assert cluster.outcomes[key] == ProposalOutcomeUnknown()
     later = cluster.propose(leader, 0)
     assert isinstance(cluster.outcomes[later], ProposalRejected)
@@ -64,7 +64,7 @@
 
 
 def test_a_follower_names_the_leader_and_a_full_queue_rejects():
-    cluster = started()
+    cluster = converged_cluster()
     leader = cluster.leader()
     follower = next(name for name in cluster.names if name != leader)
     key = cluster.propose(follower, 0)
@@ -75,7 +75,7 @@
 
 
 def test_a_value_that_a_majority_accepted_is_completed_by_the_next_leader():
-    cluster = started()
+    cluster = converged_cluster()
     leader = cluster.leader()
     cluster.propose(leader, 0)
     while cluster.network:  # the others accept; the leader crashes before their replies arrive
@@ -85,46 +85,46 @@
         else:
             cluster.deliver(0)
     cluster.crash(leader)
-    cluster.until(lambda: cluster.leader() and cluster.documents)
-    assert cluster.documents[1].text == "text 1"
+    cluster.run_until(lambda: cluster.leader() and cluster.final_values)
+    assert cluster.final_values[1].text == "text 1"
 
 
 def test_a_replica_that_lost_its_store_votes_only_once_all_others_replied():
-    cluster = started(5)
+    cluster = converged_cluster(5)
     key = cluster.propose(cluster.leader(), 0)
-    cluster.until(lambda: key in cluster.outcomes)
+    cluster.run_until(lambda: key in cluster.outcomes)
     cluster.crash("c4")
     cluster.lose_store("c3")
     cluster.run(200)
-    assert not cluster.durable["c3"].voter
-    assert cluster.published["c3"] == 1  # a learner serves the chosen version
+    assert not cluster.stores["c3"].voter
+    assert cluster.published_versions["c3"] == 1  # a learner serves the chosen version
     cluster.start("c4")
-    cluster.until(cluster.converged)
-    assert cluster.durable["c3"].accepted.value.version == 1
+    cluster.run_until(cluster.has_converged)
+    assert cluster.stores["c3"].accepted.value.version == 1
 
 
 def test_a_partitioned_node_raises_the_term_by_one_at_most():
-    cluster = started()
+    cluster = converged_cluster()
     leader = cluster.leader()
     isolated = next(name for name in cluster.names if name != leader)
     term = cluster.replicas[leader].ballot.term
     cluster.isolate(isolated)
     cluster.run(400)
-    assert cluster.durable[isolated].promised.term == term + 1
+    assert cluster.stores[isolated].promised.term == term + 1
     cluster.partitions = set()
-    cluster.until(cluster.converged)
+    cluster.run_until(cluster.has_converged)
 
 
 def promise_then_crash(cluster):
-    """c1 promises to c2 and crashes; then an earlier Accept of c0, the leader before, arrives."""
-    cluster.until(cluster.converged)
+    """c1 promises c2's ballot and crashes; then an earlier `Accept` of the old leader c0 reaches c1."""
+    cluster.run_until(cluster.has_converged)
     leader = cluster.replicas["c0"]
     assert leader.role is Role.LEADER
     cluster.propose("c0", 0)
     accept = next(message for _, recipient, message in cluster.network if recipient == "c1")
     cluster.network.clear()
     cluster.isolate("c0")
-    cluster.now += 20 * HEARTBEAT
+    cluster.now += 20 * HEARTBEAT_INTERVAL
     cluster.tick("c2")
     while cluster.replicas["c2"].role is not Role.LEADER:
         cluster.deliver(0)
@@ -144,12 +144,12 @@
 
 
 def lose_store_then_partition(cluster):
-    """c0 and c1 have a version that c2 does not know; c1 loses its store, and c0 is partitioned."""
-    cluster.until(cluster.converged)
+    """c0 and c1 choose a version without c2; then c0 is partitioned, and c1 loses its store."""
+    cluster.run_until(cluster.has_converged)
     cluster.run(8)
     cluster.isolate("c2")
     key = cluster.propose("c0", 0)
-    cluster.until(lambda: key in cluster.outcomes)
+    cluster.run_until(lambda: key in cluster.outcomes)
     cluster.isolate("c0")
     cluster.lose_store("c1")
     cluster.run(80)
@@ -158,7 +158,7 @@
         cluster.run(8)
 
 
-def test_a_lost_store_is_no_majority_with_a_replica_without_the_version():
+def test_a_replica_that_lost_its_store_forms_no_majority_with_an_outdated_replica():
     cluster = Cluster(3)
     lose_store_then_partition(cluster)
     assert not cluster.leader()
@@ -166,7 +166,7 @@
         lose_store_then_partition(LostStoreVotesAtOnce(3))
 
 
-def test_messages_of_unlisted_senders_are_dropped():
-    cluster = started()
+def test_messages_from_nodes_outside_the_group_are_dropped():
+    cluster = converged_cluster()
     replica = cluster.replicas["c0"]
-    assert replica.receive("stranger", messages.Prepare(Ballot(99, 7)), cluster.now) == []
+    assert replica.receive("unlisted", messages.Prepare(Ballot(99, 7)), cluster.now) == []
--- a/tests/control/quorum/test_replica_states.py
+++ b/tests/control/quorum/test_replica_states.py
@@ -1,4 +1,4 @@
-"""The quorum's guarantees under faults that hypothesis draws, and that the checks find injected ones."""
+"""The quorum keeps its guarantees under random faults, and the checks detect injected faults of the code."""
 
 import pytest
 from hypothesis import Phase, settings
@@ -28,7 +28,7 @@
         BaseVersionIgnored,
     ],
 )
-def test_the_checker_finds_an_injected_fault(faulty):
+def test_the_checks_detect_an_injected_fault(faulty):
     class Machine(SafetyMachine):
         cluster_class = faulty
 
--- a/tests/control/quorum/test_store.py
+++ b/tests/control/quorum/test_store.py
@@ -1,4 +1,4 @@
-"""The durable state of a quorum replica: a written state is read again, and a torn store is refused."""
+"""The store of a quorum replica: written states are read back, and unusable stores are rejected."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 from marbleglade.control.quorum.state import Ballot, DurableState, FoundingMember, Value, Vote
 from marbleglade.control.quorum.store import MAX_VERSIONS, Store, StoreError
 
-FULL = DurableState(
+LARGE_STATE = DurableState(
     "aa",
     True,
     (FoundingMember("c1", "aa"),),
@@ -21,7 +21,7 @@
     return Store(str(path), deployment, node)
 
 
-def test_a_new_store_is_empty_and_has_an_id_of_its_own(tmp_path):
+def test_a_new_store_is_empty_and_has_a_unique_id(tmp_path):
     first = open_store(tmp_path / "first")
     second = open_store(tmp_path / "second")
     assert first.state == DurableState(first.state.store_id)
@@ -35,14 +35,14 @@
 
 def test_a_written_state_is_read_back(tmp_path):
     store = open_store(tmp_path)
-    store.write(FULL)
+    store.write(LARGE_STATE)
     store.close()
     reopened = open_store(tmp_path)
-    assert reopened.state == FULL
+    assert reopened.state == LARGE_STATE
     reopened.close()
 
 
-def test_the_oldest_versions_are_dropped(tmp_path):
+def test_the_oldest_versions_are_deleted(tmp_path):
     store = open_store(tmp_path)
     for version in range(1, MAX_VERSIONS + 10):
         store.write(DurableState("aa", chosen=Value(version, "p", "x")))
@@ -58,14 +58,14 @@
         ("shop", "c2", "node 'c1', expected 'c2'"),
     ],
 )
-def test_a_foreign_store_is_refused(tmp_path, deployment, node, error_text):
+def test_a_store_of_another_deployment_or_node_is_rejected(tmp_path, deployment, node, error_text):
     open_store(tmp_path).close()
     with pytest.raises(StoreError, match=error_text):
         open_store(tmp_path, deployment, node)
-    open_store(tmp_path).close()  # nothing was changed
+    open_store(tmp_path).close()  # the rejected opening left the store intact
 
 
-def test_a_newer_format_is_refused(tmp_path, monkeypatch):
+def test_a_store_with_a_newer_format_is_rejected(tmp_path, monkeypatch):
     monkeypatch.setattr("marbleglade.control.quorum.store.FORMAT_VERSION", 2)
     open_store(tmp_path).close()
     monkeypatch.undo()
@@ -73,7 +73,7 @@
         open_store(tmp_path)
 
 
-def test_a_store_in_use_is_refused(tmp_path):
+def test_a_store_in_use_is_rejected(tmp_path):
     store = open_store(tmp_path)
     with pytest.raises(StoreError, match="in use"):
         open_store(tmp_path)
@@ -94,20 +94,20 @@
 
 
 @pytest.mark.parametrize("damage", [truncate, overwrite, change_one_byte])
-def test_a_torn_store_is_refused_with_one_line_and_not_changed(tmp_path, damage):
+def test_a_corrupt_store_is_rejected_with_a_one_line_error_and_not_changed(tmp_path, damage):
     store = open_store(tmp_path)
-    store.write(FULL)
+    store.write(LARGE_STATE)
     store.close()
     file = tmp_path / "data.mdb"
-    torn = damage(Path(file).read_bytes())
-    file.write_bytes(torn)
+    corrupt = damage(Path(file).read_bytes())
+    file.write_bytes(corrupt)
     with pytest.raises(StoreError, match="corrupt") as caught:
         open_store(tmp_path)
     assert "\n" not in str(caught.value)
-    assert file.read_bytes()[: len(torn)] == torn
+    assert file.read_bytes()[: len(corrupt)] == corrupt
 
 
-def test_a_directory_that_cannot_be_created_is_refused(tmp_path):
+def test_a_directory_that_cannot_be_created_is_rejected(tmp_path):
     (tmp_path / "file").write_text("")
     with pytest.raises(StoreError):
         open_store(tmp_path / "file" / "store")
