--- a/marbleglade/control/quorum/group.py
+++ b/marbleglade/control/quorum/group.py
@@ -11,14 +11,14 @@
         members: The names of all nodes in the order of the settings, which is the same on every node.
 
     Attributes:
-        others: The names of all members except this node.
-        index: The position of this node in `members`.
+        other_members: The names of all members except this node.
+        own_index: The position of this node in `members`.
         majority: The number of members that form a majority.
     """
 
     def __init__(self, name: str, members: tuple[str, ...]) -> None:
         self.name = name
         self.members = members
-        self.others = tuple(member for member in members if member != name)
-        self.index = members.index(name)
+        self.other_members = tuple(member for member in members if member != name)
+        self.own_index = members.index(name)
         self.majority = len(members) // 2 + 1
--- a/marbleglade/control/quorum/leader.py
+++ b/marbleglade/control/quorum/leader.py
@@ -25,7 +25,12 @@
 
 @dataclass(slots=True)
 class PendingProposal:
-    """A proposal without an outcome: queued behind other proposals, or in the active round."""
+    """A proposal without an outcome: queued behind other proposals, or in the active round.
+
+    Attributes:
+        key: Identifies the proposal in the `Resolve` effect.
+        value: The proposed value.
+    """
 
     key: int
     value: Value
@@ -113,7 +118,7 @@
         vote = Vote(self.ballot, accept_round.value)
         self.acceptor.persist(replace(self.acceptor.state, accepted=vote))
         accept_round.acceptors.add(self.group.name)
-        self.acceptor.broadcast(self.group.others, Accept(self.ballot, accept_round.value))
+        self.acceptor.broadcast(self.group.other_members, Accept(self.ballot, accept_round.value))
         self._finish_round_on_majority(accept_round)
 
     def resend_accept(self) -> None:
@@ -121,7 +126,7 @@
         if not self.active_round:
             return
         acceptors = self.active_round.acceptors
-        missing = (member for member in self.group.others if member not in acceptors)
+        missing = (member for member in self.group.other_members if member not in acceptors)
         self.acceptor.broadcast(missing, Accept(self.ballot, self.active_round.value))
 
     def handle_accepted(self, sender: str, version: int, now: int) -> None:
@@ -143,7 +148,7 @@
             return
         self.active_round = None
         self.acceptor.learn(accept_round.value)
-        self.acceptor.broadcast(self.group.others, Chosen(accept_round.value))
+        self.acceptor.broadcast(self.group.other_members, Chosen(accept_round.value))
         if accept_round.proposal:
             outcome = ProposalAccepted(accept_round.value.version)
             self.acceptor.resolve(accept_round.proposal.key, outcome)
--- a/marbleglade/control/quorum/learner.py
+++ b/marbleglade/control/quorum/learner.py
@@ -38,9 +38,9 @@
     founders = next((state.founders for state in voters), ())
     if FoundingMember(group.name, own.store_id) in founders:
         return replace(own, voter=True, founders=founders)
-    if len(others) < len(group.others):
+    if len(others) < len(group.other_members):
         return None
-    if not voters and group.index == 0:
+    if not voters and group.own_index == 0:
         return replace(own, voter=True, founders=_founding_members(group, own, others))
     if not voters or len(voters) < len(others):
         return None
@@ -70,7 +70,7 @@
 
     def members_to_query(self) -> list[str]:
         """Return the members whose state is still needed: no reply yet, or a reply as a learner."""
-        return [member for member in self.group.others if not self._is_known_voter(member)]
+        return [member for member in self.group.other_members if not self._is_known_voter(member)]
 
     def handle_state_reply(self, sender: str, reply: StateReply) -> None:
         """Record a reply, unless it answers a request from an earlier store of this node."""
--- a/marbleglade/control/quorum/messages.py
+++ b/marbleglade/control/quorum/messages.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """The reply to a message with an outdated ballot: the higher ballot `promised` was promised."""
+    """The reply to a message with an outdated ballot. `promised` is the higher ballot already promised."""
 
     ballot: Ballot
     promised: Ballot
--- a/marbleglade/control/quorum/replica.py
+++ b/marbleglade/control/quorum/replica.py
@@ -131,7 +131,7 @@
 
     def receive(self, sender: str, message: Message, now: int) -> list[Effect]:
         """Handle a message of another replica. Messages from nodes outside the group are dropped."""
-        if sender not in self.group.others:
+        if sender not in self.group.other_members:
             return []
         match message:
             case StateRequest(store_id):
@@ -189,7 +189,7 @@
 
         It is longer for later members, so that two candidates rarely compete and the earlier member wins.
         """
-        heartbeats = ELECTION_TIMEOUT_HEARTBEATS + ELECTION_STAGGER_HEARTBEATS * self.group.index
+        heartbeats = ELECTION_TIMEOUT_HEARTBEATS + ELECTION_STAGGER_HEARTBEATS * self.group.own_index
         return heartbeats * self.heartbeat_interval
 
     def _start_election(self, now: int) -> None:
@@ -202,7 +202,7 @@
             self._broadcast(Prepare(self.ballot))
             return
         self.highest_ballot = max(self.highest_ballot, self.state.promised)
-        self.ballot = Ballot(self.highest_ballot.term + 1, self.group.index)
+        self.ballot = Ballot(self.highest_ballot.term + 1, self.group.own_index)
         self.role = Role.CANDIDATE
         self.leader_name = ""
         self.acceptor.persist(replace(self.state, promised=self.ballot))
@@ -287,4 +287,4 @@
             self._become_follower(leader, ballot, now)
 
     def _broadcast(self, message: Message) -> None:
-        self.acceptor.broadcast(self.group.others, message)
+        self.acceptor.broadcast(self.group.other_members, message)
--- a/marbleglade/control/quorum/state.py
+++ b/marbleglade/control/quorum/state.py
@@ -59,7 +59,7 @@
     """The state of one replica that must survive a restart.
 
     Attributes:
-        store_id: Random id of the store.
+        store_id: Random id, created with the store.
         voter: Whether the replica may vote; otherwise it is a learner.
         founders: The members and stores that founded the group; empty on a learner.
         promised: The highest ballot that the replica promised.
