--- a/marbleglade/control/configuration/document.py
+++ b/marbleglade/control/configuration/document.py
@@ -126,7 +126,7 @@
 
 def _document_errors(message: ConfigurationDocument, settings: ControlSettings) -> Iterator[str]:
     if message.deployment != settings.deployment:
-        yield f"deployment: {message.deployment!r}, expected {settings.deployment!r}"
+        yield f"deployment: {message.deployment!r}, and this is {settings.deployment!r}"
     if message.base_version >= VERSION_LIMIT:
         yield f"base_version: {message.base_version} is too large"
     if not message.region:
@@ -152,7 +152,7 @@
         return
     yield from _peer_errors(region.peer)
     if region.peers_all and not region.peer:
-        yield "peers_all: set without a list of peers"
+        yield "peers_all: it is told without peers"
     if region.HasField("work"):
         yield from (f"work: {error}" for error in find_plan_errors(region.work))
         for job in region.work.job:
--- a/marbleglade/control/configuration/reconfiguration.py
+++ b/marbleglade/control/configuration/reconfiguration.py
@@ -88,9 +88,7 @@
         if version == self.version:
             return ConfigurationChanges()
         if version < self.version:
-            raise ConfigurationRejectedError(
-                f"version {version} is older than version {self.version}, which is in force"
-            )
+            raise ConfigurationRejectedError(f"version {version} is older than {self.version} in force")
         document = self._read_checked(version, text)
         region = document.region(self.region)
         changes = self._find_changes(region) if region else ConfigurationChanges()
@@ -104,9 +102,7 @@
         except InvalidDocumentError as error:
             raise ConfigurationRejectedError(str(error)) from error
         if document.version != version:
-            raise ConfigurationRejectedError(
-                f"the document has version {document.version}, expected {version}"
-            )
+            raise ConfigurationRejectedError(f"the document says version {document.version}, not {version}")
         if region := document.region(self.region):
             self._check_usable(region)
         return document
@@ -115,20 +111,18 @@
         if region.peers:
             self._check_peers(region.peers)
         if region.maintenance and self.target.set_maintenance_plan is None:
-            raise ConfigurationRejectedError(
-                "it has a maintenance plan (work), but this front takes part in no maintenance"
-            )
+            raise ConfigurationRejectedError("it holds an order of work, and this front takes part in none")
 
     def _check_peers(self, peers: tuple[Address, ...]) -> None:
         """Reject a list of peers that moves this front: fronts identify each other by their positions."""
         own = self.target.own_peer
         active_peers = self.target.active_configuration().peers
         if own is None:
-            raise ConfigurationRejectedError("it lists peers, but this front was started without peers")
+            raise ConfigurationRejectedError("it lists peers, and this front was started without")
         if own not in peers:
-            raise ConfigurationRejectedError(f"its peers do not include this front, {own[0]}:{own[1]}")
+            raise ConfigurationRejectedError(f"its peers lack this front, {own[0]}:{own[1]}")
         if own in active_peers and peers.index(own) != active_peers.index(own):
-            positions = f"from position {active_peers.index(own)} to {peers.index(own)}"
+            positions = f"from place {active_peers.index(own)} to {peers.index(own)}"
             raise ConfigurationRejectedError(f"it moves this front {positions} in the list of peers")
 
     def _find_changes(self, region: RegionConfiguration) -> ConfigurationChanges:
