--- a/marbleglade/maintenance/adapter.py
+++ b/marbleglade/maintenance/adapter.py
@@ -1,4 +1,4 @@
-"""Connects a front's part in maintenance to its plan file, its requests, its upstreams, and the fleet."""
+"""Connects a front's maintenance coordinator to the plan file, requests, upstreams and fleet agent."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 from .snapshot import NodeObservation, Observation, ObservedUpstream, adjacent_upstreams
 from .table_query import InquiryOutcome
 
-LEASE_PROBES = 6  # probe intervals of the fleet in a maintenance lease
-HOT_OBJECTS = 16  # most requested objects, whose first two upstreams are not taken out together
-KINDS = {UpstreamRole.CACHE: Kind.CACHE, UpstreamRole.PARENT: Kind.PARENT}
-LOGGED_CHANGES = (  # of the status; a change of any other field is not logged
+LEASE_PROBE_INTERVALS = 6  # duration of a maintenance lease, in probe intervals of the fleet agent
+HOT_OBJECT_COUNT = 16  # most requested objects; the first two upstreams of each are not taken out together
+KIND_BY_ROLE = {UpstreamRole.CACHE: Kind.CACHE, UpstreamRole.PARENT: Kind.PARENT}
+LOGGED_CHANGES = (  # fields of the status; a change of any other field is not logged
     "plan_created_ms",
     "is_finished",
     "term",
@@ -40,16 +40,17 @@
 
 
 class MaintenanceAdapter:
-    """One front's transport of maintenance: reads plans, observes upstreams, drains the front.
+    """Runs maintenance at one front: reads plans, observes upstreams, and drains the front.
 
     Args:
-        path: The plan file; it need not exist.
-        agent: The fleet agent, whose members take part.
+        path: Path of the plan file, which need not exist.
+        agent: The fleet agent, whose members exchange the messages of maintenance.
         started_ms: When the front started, in Unix milliseconds.
-        probe_interval: Nanoseconds between two probes of the fleet agent.
-        driver: The front's policy.
-        front: The front, which avoids upstreams that are out, and rejects requests while it is out itself.
-        log: Writes a line to the log.
+        probe_interval: Time between two probes of the fleet agent, ns.
+        driver: Driver of the front's policy.
+        front: The request handler; it avoids upstreams that are out of service, and rejects requests while
+            this front is drained.
+        log: Function that logs an event with its fields.
     """
 
     def __init__(
@@ -72,11 +73,11 @@
             agent.own_number,
             agent.membership,
             started_ms,
-            LEASE_PROBES * probe_interval,
+            LEASE_PROBE_INTERVALS * probe_interval,
             driver.policy.parameters.slow_start_time // MILLISECOND_NS,
             clock.now(),
         )
-        self.applied_starts_ms: dict[int, int] = {}  # `coordinator.granted_starts_ms` as last applied here
+        self.applied_starts_ms: dict[int, int] = {}  # as last applied to the upstreams
         self.logged_status: dict[str, object] = {}
         self.inquiry_outcome = InquiryOutcome.WAITING  # as last applied to the upstreams
         self.reload_plan()
@@ -88,14 +89,14 @@
 
     @property
     def is_informed(self) -> bool:
-        """True once the front knows which machines are out, and uses them no more."""
+        """True once the front knows which machines are out of service and avoids them."""
         return self.inquiry_outcome.is_informed
 
     @property
     def is_waiting(self) -> bool:
-        """True while the front waits for the table of machines that are out, and can serve nothing yet.
+        """True while the front can't serve, since it does not know which machines are out of service.
 
-        After the time-out it still can't where each cache may be out.
+        After the time-out it serves with the caches that are certainly in service, if there are any.
         """
         if self.inquiry_outcome is InquiryOutcome.TIMEOUT:
             return not self.front.upstreams.has_active_cache()
@@ -103,14 +104,15 @@
 
     @property
     def is_draining(self) -> bool:
-        """The front is draining, or is drained."""
+        """True while the front is draining or drained."""
         return self.drain.stage is not DrainStage.SERVING
 
     def reload_plan(self) -> None:
-        """Adopt the plan in the file, where there is one.
+        """Adopt the plan in the file, if there is one.
 
-        The line `adopted=False` gives no reason: the plan is no later than the one in force, or was created
-        too far ahead of this front's clock. A file without read permission is skipped like a missing one.
+        A log line with `adopted=False` gives no reason: the plan is no later than the one in force, or was
+        created too far ahead of this front's clock. A file without read permission is skipped, as a missing
+        one is.
         """
         if not os.access(self.path, os.R_OK):
             return
@@ -123,9 +125,9 @@
         self.log("maintenance", adopted=adopted)
 
     def tick(self, now: int) -> list[Outgoing[MaintenanceMessage]]:
-        """Return the messages that are due, and log what changed."""
+        """Return the messages that are due, and log the status if it changed."""
         outgoing = self.coordinator.tick(now, self.observe)
-        self._apply(now)
+        self._apply_state(now)
         status = self.coordinator.status()
         logged = {name: value for name, value in status.items() if name in LOGGED_CHANGES}
         if logged != self.logged_status:
@@ -136,7 +138,7 @@
     def handle_datagram(
         self, sender: int, data: bytes, now: int
     ) -> list[Outgoing[MaintenanceMessage]] | None:
-        """Process a datagram and return the answers; None if it is none of maintenance."""
+        """Process a datagram and return the answers; None if it is not a maintenance datagram."""
         message = maintenance_datagrams.decode(data)
         return None if message is None else self.receive(sender, message, now)
 
@@ -146,13 +148,13 @@
         """Process a member's message and return the answers."""
         plan_before = self.coordinator.plan
         outgoing = self.coordinator.receive(sender, message, now)
-        self._apply(now)
+        self._apply_state(now)
         if self.coordinator.plan is not plan_before:
-            outgoing = outgoing + self.tick(now)  # a new plan may recall fronts, which does not wait
+            outgoing = outgoing + self.tick(now)  # a new plan may recall fronts, at once
         return outgoing
 
     def status(self) -> MaintenanceStatus:
-        """Return the state for the log line of counters."""
+        """Return the status for the log line of counters."""
         return {
             **self.coordinator.status(),
             "stage": self.drain.stage.value,
@@ -160,7 +162,7 @@
         }
 
     def drain_front(self, now: int) -> None:
-        """Advance the drain of this front; called often, as it has a timeout."""
+        """Advance the drain of this front. To be called often, since the drain has a timeout."""
         stage = self.drain.stage
         is_granted = self.coordinator.is_granted(now)
         if not is_granted and stage is DrainStage.SERVING:
@@ -177,10 +179,10 @@
             self.log("drain", stage=self.drain.stage.value, open_requests=len(self.driver.open_requests))
 
     def observe(self) -> Observation:
-        """Return what this front observes of its upstreams."""
+        """Return the state of this front's upstreams, as it observes them."""
         observation = Observation()
         for upstream, server in self.front.upstreams.by_upstream.items():
-            if (kind := KINDS.get(upstream.role)) is not None:
+            if (kind := KIND_BY_ROLE.get(upstream.role)) is not None:
                 group = Group(kind, self._zone_name(upstream))
                 observation.upstreams[server.id] = ObservedUpstream(
                     group, self._observe_upstream(upstream, server)
@@ -188,17 +190,20 @@
         if load := self.front.monitor.latest_congestion():
             observation.load[Kind.CACHE] = load[0]
         observation.adjacent = adjacent_upstreams(
-            self.driver.policy.preferred_upstreams(HOT_OBJECTS),
+            self.driver.policy.preferred_upstreams(HOT_OBJECT_COUNT),
             lambda upstreams: [upstream.name.decode() for upstream in upstreams],
         )
         return observation
 
     def rejects_all(self) -> bool:
-        """Return whether this front is out of service, or waits to know which machines are."""
+        """Return whether to reject all requests: the front is drained, or `is_waiting`."""
         return self.drain.stage is DrainStage.DRAINED or self.is_waiting
 
-    def _follow_inquiry(self, now: int) -> None:
-        """Withhold the upstreams that may be out while it is not known which are; log each change."""
+    def _apply_inquiry_outcome(self, now: int) -> None:
+        """Log a change of the table inquiry's outcome, and withhold upstreams after its time-out.
+
+        The upstreams that may be out of service are withheld until the front is informed.
+        """
         outcome = self.coordinator.inquiry_outcome(now)
         previous = self.inquiry_outcome
         if outcome is previous:
@@ -216,14 +221,14 @@
             self.front.events.withhold_upstreams(self.coordinator.started_ms)
         elif previous is InquiryOutcome.TIMEOUT:
             self.front.events.release_upstreams()
-        self.inquiry_outcome = outcome  # last, as requests are admitted from then on
+        self.inquiry_outcome = outcome  # last, since requests may be admitted once it is set
 
-    def _apply(self, now: int) -> None:
-        """Apply what is out of service to the upstreams and to this front."""
+    def _apply_state(self, now: int) -> None:
+        """Apply the grants and the inquiry's outcome to the upstreams, and advance this front's drain."""
         if self.coordinator.granted_starts_ms != self.applied_starts_ms:
             self.applied_starts_ms = dict(self.coordinator.granted_starts_ms)
             self.front.events.take_out_of_service(self.applied_starts_ms)
-        self._follow_inquiry(now)  # after the grants are applied, as it may release upstreams
+        self._apply_inquiry_outcome(now)  # after the grants, as it may release upstreams
         self.drain_front(now)
 
     def _zone_name(self, upstream: Upstream) -> str:
--- a/marbleglade/maintenance/coordinator.py
+++ b/marbleglade/maintenance/coordinator.py
@@ -1,8 +1,8 @@
-"""Coordinator of maintenance at one front: the plan in force, who leads, and which machines are out.
+"""Coordinator of maintenance at one front: the plan in force, the leader, and the machines out of service.
 
-Free of I/O, clocks and randomness: `tick` and `receive` return the messages to send. The observation of
-machines is an argument; what follows for this front and for upstreams is read from `is_granted` and
-`granted_starts_ms`.
+Free of I/O, clocks and randomness: `tick` and `receive` return the messages to send. The caller
+passes in its observation of the machines. It reads from `is_granted` whether this front is out of service,
+and from `granted_starts_ms` which upstreams are.
 """
 
 from __future__ import annotations
@@ -26,25 +26,25 @@
 from .table_query import InquiryOutcome, TableInquiry, TableQuery, TableReply
 
 MAINTENANCE_TASK = b"work"
-MAX_LISTED = 12  # waiting machines in a status
+MAX_LISTED_WAITING = 12  # the most waiting machines that a status contains
 
 
 @lru_cache(1 << 14)
 def machine_key(name: str) -> int:
-    """Return the 32-bit hash that stands for a machine's name in messages between fronts."""
+    """Return the 32-bit hash that represents a machine's name in messages between fronts."""
     return name_hash(name.encode())
 
 
 class MaintenanceCoordinator:
-    """One front's part in maintenance.
+    """Maintenance state and messages of one front.
 
     Args:
         own_number: The number of this front.
         membership: The membership of the fleet.
         started_ms: When this front started, in Unix milliseconds.
-        lease: Nanoseconds of the maintenance lease.
-        warm_up_ms: How long a front warms up.
-        now: The present time, ns.
+        lease: Duration of the maintenance lease, ns.
+        warm_up_ms: Duration of a front's warm-up after its start, in milliseconds.
+        now: The current time of the monotonic clock, ns.
     """
 
     def __init__(
@@ -56,66 +56,71 @@
         self.lease = lease
         self.warm_up_ms = warm_up_ms
         self.key = machine_key(front_name(own_number))
-        self.plans = PlanExchange(own_number, lease, started_ms, now)
+        self.plan_exchange = PlanExchange(own_number, lease, started_ms, now)
         self.quorum = LeaseQuorum(own_number, len(membership.members), lease, now)
-        self._number_members()
+        self._map_member_numbers()
         self.inquiry = TableInquiry(own_number, lease, now)
-        self.preferred: int | None = None  # the member that should lead, as last computed
+        self.preferred: int | None = None  # the preferred leader, as last computed
         self.preferred_at = now - lease
-        self.finished_plan_ms = 0  # `created_ms` of the plan that is finished
+        self.finished_plan_ms = 0  # `created_ms` of the last finished plan; 0: none
         self.decision = ScheduleDecision()
-        # By key of each machine, upstream or front, that a majority granted, as far as this front knows: its
-        # latest start then, Unix ms. Entries stay when the machine returns; its later start voids them.
+        # Machines (upstreams and fronts) that a majority granted, as far as this front knows: by machine key,
+        # the process start that was granted, the latest one, in Unix ms. An entry stays when the machine
+        # returns to service; it is void for a process with a later start.
         self.granted_starts_ms: dict[int, int] = {}
 
     @property
     def plan(self) -> MaintenancePlan | None:
         """The plan in force."""
-        return self.plans.plan
+        return self.plan_exchange.plan
 
     def adopt(self, plan: MaintenancePlan, plan_bytes: bytes, now: int) -> bool:
-        """Put a plan in force, or return false; see `PlanExchange.adopt`."""
-        return self.plans.adopt(plan, plan_bytes, now)
+        """Put a plan in force; return false if it is rejected. See `PlanExchange.adopt`."""
+        return self.plan_exchange.adopt(plan, plan_bytes, now)
 
     def preferred_leader(self, now: int) -> int | None:
-        """Return the member that should lead, hashed over healthy voters, if possible those in service."""
+        """Return the preferred leader: by hash one of the healthy voters, if possible of those in service."""
         if now - self.preferred_at >= self.lease * REQUEST_INTERVAL_SHARE:
             self.preferred_at = now
             voters = [number for number in self.membership.healthy() if number in self.quorum.member.voters]
-            staying = [
+            in_service = [
                 number for number in voters if machine_key(front_name(number)) not in self.quorum.table.grants
             ]
-            self.preferred = preferred_holder(MAINTENANCE_TASK, staying or voters)
+            self.preferred = preferred_holder(MAINTENANCE_TASK, in_service or voters)
         return self.preferred
 
     def tick(self, now: int, observe: Callable[[], Observation]) -> list[Outgoing[MaintenanceMessage]]:
-        """Run the timers and return the messages that are due; the leader calls `observe`."""
+        """Run the timers and return the messages that are due; calls `observe` only as the leader."""
         member = self.quorum.member
         if len(self.membership.members) != member.member_count:
             self.quorum.resize(len(self.membership.members), now)
-            self._number_members()
+            self._map_member_numbers()
         outgoing: list[Outgoing[MaintenanceMessage]] = [*self.inquiry.tick(now, member.member_count)]
-        has_work = self._has_work()
-        if not (has_work or member.is_leader or self.plans.transfer):
+        is_pending = self._is_maintenance_pending()
+        if not (is_pending or member.is_leader or self.plan_exchange.transfer):
             return outgoing
-        is_led = member.leader in self.membership.members and now - member.last_contact_at < self.lease
+        has_current_leader = (
+            member.leader in self.membership.members and now - member.last_contact_at < self.lease
+        )
         preferred = self.preferred_leader(now)
-        wants_leadership = has_work and preferred == self.own_number and not self.membership.is_leaving
+        wants_leadership = is_pending and preferred == self.own_number and not self.membership.is_leaving
         outgoing += self.quorum.tick(wants_leadership, now)
         if member.holds_lease(now):
             version = self.quorum.table.version
-            self.inquiry.informed_by_leader = True  # this front has the latest table of a majority
+            self.inquiry.informed_by_leader = True  # the leader itself has the latest table
             self._apply_schedule(now, observe())
             if self.quorum.table.version != version:
                 outgoing += self.quorum.tick(True, now)
-        outgoing += self._offer_plan(outgoing, member.leader if is_led else preferred, has_work, now)
-        outgoing += self.plans.request_missing(now)
+        outgoing += self._offer_plan(
+            outgoing, member.leader if has_current_leader else preferred, is_pending, now
+        )
+        outgoing += self.plan_exchange.request_missing(now)
         self._record_grants()
         return outgoing
 
     def snapshot(self, now: int, observation: Observation) -> FleetSnapshot:
-        """Return the state of all listed machines, with those in the table whether committed or not."""
-        unix_ms = self.plans.unix_ms(now)
+        """Return the state of all listed machines, with all grants of the table, committed or not."""
+        unix_ms = self.plan_exchange.unix_ms(now)
         observations: dict[str, NodeObservation] = {}
         groups: dict[str, Group] = {}
         for name, upstream in observation.upstreams.items():
@@ -139,15 +144,15 @@
         return FleetSnapshot(unix_ms, observations, groups, grants, observation.load, observation.adjacent)
 
     def inquiry_outcome(self, now: int) -> InquiryOutcome:
-        """Return how the queries after the start have ended, or that they go on."""
+        """Return the outcome of the table inquiry that this front began at its start."""
         return self.inquiry.outcome(now, self.quorum.member.member_count)
 
     def is_informed(self, now: int) -> bool:
-        """Return whether this front knows which upstreams are out, as far as any front does."""
+        """Return whether this front knows which machines are out of service, as far as any front does."""
         return self.inquiry_outcome(now).is_informed
 
     def is_granted(self, now: int) -> bool:
-        """Return whether this front is out of service, as far as it may rely on it."""
+        """Return whether this front has a recently confirmed grant to be out of service."""
         return self.quorum.table.may_stay_out(self.key, self.started_ms, now)
 
     def receive(
@@ -164,21 +169,22 @@
                 return []
             case PlanOffer():
                 member = self.quorum.member
-                return self.plans.receive_offer(sender, message, member.is_leader, member.voters, now)
+                return self.plan_exchange.receive_offer(sender, message, member.is_leader, member.voters, now)
             case PlanPartRequest():
-                return self.plans.receive_request(sender, message)
+                return self.plan_exchange.receive_request(sender, message)
             case PlanPart():
-                return self.plans.receive_part(message, now)
+                return self.plan_exchange.receive_part(message, now)
 
     def _answer_query(self, sender: int, now: int) -> list[Outgoing[MaintenanceMessage]]:
-        """Answer a front that queries for the table, unless this front does not have it itself.
+        """Answer a query for the table, unless this front is not informed itself.
 
-        An empty reply of a front that only gave up waiting would tell the other that nothing is out.
+        After the inquiry's time-out this front serves without having learned the table: an empty reply would
+        then state that no machine is out of service.
         """
         queries = self.inquiry.receive_query(sender, now, self.quorum.member.member_count)
         if not self.is_informed(now):
             return [*queries]
-        return [Outgoing(sender, TableReply(self._known_entries(now)))]
+        return [Outgoing(sender, TableReply(self._granted_entries(now)))]
 
     def _receive_quorum_message(
         self, sender: int, message: QuorumMessage, now: int
@@ -192,10 +198,10 @@
         return answers
 
     def status(self) -> CoordinatorStatus:
-        """Return the state for the log."""
+        """Return the status for the log."""
         plan, decision, member = self.plan, self.decision, self.quorum.member
         names = {machine.key: machine.name for machine in plan.machines} if plan else {}
-        waiting = dict(list(decision.waiting.items())[:MAX_LISTED])
+        waiting = dict(list(decision.waiting.items())[:MAX_LISTED_WAITING])
         halted = {kind.name.lower(): reason for kind, reason in decision.halted.items()}
         return {
             "plan_created_ms": plan.created_ms if plan else 0,
@@ -212,28 +218,30 @@
             "halted": halted if member.is_leader else {},
         }
 
-    def _number_members(self) -> None:
+    def _map_member_numbers(self) -> None:
         self.quorum.table.member_numbers = {
             machine_key(front_name(number)): number for number in self.membership.members
         }
 
-    def _has_work(self) -> bool:
+    def _is_maintenance_pending(self) -> bool:
         is_unfinished = self.plan is not None and self.finished_plan_ms < self.plan.created_ms
         return bool(self.quorum.table.grants) or is_unfinished
 
     def _offer_plan(
-        self, sent: list[Outgoing[MaintenanceMessage]], leader: int | None, has_work: bool, now: int
+        self, sent: list[Outgoing[MaintenanceMessage]], leader: int | None, is_pending: bool, now: int
     ) -> list[Outgoing[MaintenanceMessage]]:
-        """Offer the plan in force: the leader to the members that it sends to, others to the leader."""
+        """Offer the plan in force: as the leader to the receivers of its appends, else to the leader."""
         if self.plan and self.quorum.member.is_leader:
             reached = {item.to for item in sent if isinstance(item.message, Append)}
-            return self.plans.offer_to_members(reached, self.quorum.leader_role.required_members(), now)
-        if self.plan and has_work:
-            return self.plans.offer_to_leader(leader, now)
+            return self.plan_exchange.offer_to_members(
+                reached, self.quorum.leader_role.required_members(), now
+            )
+        if self.plan and is_pending:
+            return self.plan_exchange.offer_to_leader(leader, now)
         return []
 
     def _apply_schedule(self, now: int, observation: Observation) -> None:
-        """Update the table as its leader: remove what returned, then revoke and grant."""
+        """As the leader, update the table: remove machines that returned, then revoke and grant."""
         leader, table = self.quorum.leader_role, self.quorum.table
         snapshot = self.snapshot(now, observation)
         self._remove_returned(now, snapshot)
@@ -249,7 +257,7 @@
             leader.step_down()
 
     def _remove_returned(self, now: int, snapshot: FleetSnapshot) -> None:
-        """Remove machines that returned, or are not listed any more, from the table and the snapshot."""
+        """Remove machines that returned, or are no longer listed, from the table and the snapshot."""
         leader = self.quorum.leader_role
         listed = {machine_key(name) for name in snapshot.grants}
         for key in set(self.quorum.table.grants) - listed:
@@ -257,10 +265,10 @@
         if not snapshot.grants:
             return
         numbers = {front_name(number): number for number in self.membership.members}
-        for name, out in list(snapshot.grants.items()):
+        for name, grant in list(snapshot.grants.items()):
             key = machine_key(name)
             is_back = name in numbers and leader.revocation_is_acknowledged(key, numbers[name], now)
-            if is_back or snapshot.observations[name].started_ms > out.started_ms:
+            if is_back or snapshot.observations[name].started_ms > grant.started_ms:
                 leader.remove(key, now)
                 del snapshot.grants[name]
 
@@ -269,13 +277,14 @@
             self._record_grant(key, grant.started_ms)
 
     def _record_grant(self, key: int, started_ms: int) -> None:
-        """Keep the latest start of a machine that was granted; once it has a later one this is void."""
+        """Record the latest process start for which a machine was granted."""
         self.granted_starts_ms[key] = max(started_ms, self.granted_starts_ms.get(key, 0))
 
-    def _known_entries(self, now: int) -> tuple[TableEntry, ...]:
-        """Return the machines that a majority granted, as far as this front knows.
+    def _granted_entries(self, now: int) -> tuple[TableEntry, ...]:
+        """Return the entries of the table that a majority granted, as far as this front knows.
 
-        A table outlives its leader: what counted once does so while the next leader gathers its majority.
+        A grant outlives its leader: once committed, it stays in effect while the next leader is elected and
+        has not yet collected a majority's confirmations.
         """
         return tuple(
             entry for entry in self.quorum.table.entries(now) if entry.machine in self.granted_starts_ms
--- a/marbleglade/maintenance/drain.py
+++ b/marbleglade/maintenance/drain.py
@@ -1,6 +1,7 @@
-"""Graceful drain of a front: it announces that it leaves, serves what still arrives, and rejects the rest.
+"""Graceful drain of a front: it announces its departure and still serves until the drain ends.
 
-The drain ends at its timeout, or earlier once the clients have left; it can be cancelled at any time.
+The drain ends at its timeout, or earlier once no client sends requests. From then on the front rejects all
+requests. A drain can be cancelled at any time.
 
 Free of I/O, clocks and randomness; times are nanoseconds of the caller's monotonic clock.
 """
@@ -10,15 +11,15 @@
 from dataclasses import dataclass
 from enum import Enum
 
-IDLE_SHARE = 1 / 10  # of the timeout; after it without a request, the clients count as gone
+IDLE_SHARE = 1 / 10  # of the timeout; time without a request after which all clients count as gone
 
 
 class DrainStage(Enum):
-    """How far the drain is; the value is that of the log."""
+    """Stage of a drain; the value is written to the log."""
 
     SERVING = "serving"
-    DRAINING = "draining"  # announced, and serving what still arrives
-    DRAINED = "drained"  # rejects all requests; maintenance may begin
+    DRAINING = "draining"  # the departure is announced; requests are still served
+    DRAINED = "drained"  # all requests are rejected; maintenance may begin
 
 
 @dataclass(slots=True)
@@ -26,10 +27,10 @@
     """State of one front's drain.
 
     Attributes:
-        stage: How far it is.
+        stage: Current stage.
         started_at: When the drain began, ns.
         last_active_at: When a request last arrived or was open, ns.
-        request_count: Requests received until then.
+        request_count: Total of received requests as of `last_active_at`.
     """
 
     stage: DrainStage = DrainStage.SERVING
@@ -38,14 +39,14 @@
     request_count: int = 0
 
     def tick(self, is_granted: bool, timeout: int, request_count: int, open_requests: int, now: int) -> bool:
-        """Advance the drain, and return true when the remaining requests are to be rejected.
+        """Advance the drain; return true at the moment at which open requests are to be rejected.
 
         Args:
-            is_granted: The fleet lets this front out of service.
-            timeout: Nanoseconds in which it is drained.
-            request_count: Requests received so far.
-            open_requests: Requests not yet finished.
-            now: The present time.
+            is_granted: This front has a grant to be out of service.
+            timeout: Longest duration of the drain, ns.
+            request_count: Total of received requests.
+            open_requests: Number of requests in progress.
+            now: The current time.
         """
         if not is_granted:
             self.stage = DrainStage.SERVING
--- a/marbleglade/maintenance/forecast.py
+++ b/marbleglade/maintenance/forecast.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class PlannedStep:
-    """When a machine would go out of service and return, in milliseconds from the beginning."""
+    """When a machine would go out of service and return, in milliseconds since the plan's start."""
 
     starts_ms: int
     name: str
@@ -24,7 +24,7 @@
 
 
 class _Return(NamedTuple):
-    """A machine returns to service (`is_warm` false), or has warmed up after that (true); sorts by time."""
+    """Event: a machine returns to service (`is_warm` false) or has then warmed up (true). Sorts by time."""
 
     at_ms: int
     name: str
@@ -33,11 +33,11 @@
 
 @dataclass(slots=True)
 class Forecast:
-    """The course of a plan.
+    """The predicted course of a plan.
 
     Attributes:
-        steps: The steps, in the order of their start.
-        never: Why each remaining machine is never taken out, by name; under "": why the forecast ended early.
+        steps: The machines that go out of service, in the order in which they do.
+        never: Why each remaining machine is never taken out, by name; under "", why the forecast ended early.
     """
 
     steps: list[PlannedStep] = field(default_factory=list)
@@ -55,16 +55,16 @@
 
     Args:
         plan: The plan.
-        snapshot: The fleet at the beginning.
-        duration_ms: How long a machine is out of service.
-        warm_up_ms: How long a machine that returned warms up.
-        max_duration_ms: The longest duration of the whole plan that is simulated.
+        snapshot: State of the fleet at the start.
+        duration_ms: Returns how long a machine stays out of service, in milliseconds.
+        warm_up_ms: Duration of the warm-up of a machine that returned, in milliseconds.
+        max_duration_ms: Simulated time after which the forecast ends, in milliseconds.
     """
     return _Simulation(plan, snapshot, duration_ms, warm_up_ms).run(max_duration_ms)
 
 
 class _Simulation:
-    """Carries out a plan on simulated time."""
+    """Execution of a plan on simulated time."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
             observations=dict(snapshot.observations),
             grants=dict(snapshot.grants),
         )
-        self.returns: list[_Return] = []  # a heap
+        self.returns: list[_Return] = []  # heap of pending events
         self.steps: list[PlannedStep] = []
 
     def run(self, max_duration_ms: int) -> Forecast:
@@ -94,7 +94,7 @@
             if not self.returns:
                 return Forecast(self.steps, decision.waiting)
             self._apply_return(heapq.heappop(self.returns))
-        return Forecast(self.steps, {"": "takes longer than a week"})
+        return Forecast(self.steps, {"": "the plan takes longer than a week"})
 
     def _take_out(self, name: str) -> None:
         now_ms = self.snapshot.now_ms
--- a/marbleglade/maintenance/lease_election.py
+++ b/marbleglade/maintenance/lease_election.py
@@ -1,7 +1,7 @@
-"""Elections of the lease quorum's leader: the roles of the voter, which votes, and of the candidate.
+"""Election of the lease quorum's leader: the roles of the voter and of the candidate.
 
-Each vote contains the voter's table, so a candidate that a majority voted for knows all that any leader
-before it granted.
+Each vote contains the voter's table. So a candidate with the votes of a majority has every grant that an
+earlier leader committed.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 
 @dataclass(slots=True)
 class Voter:
-    """Votes for one candidate in each term, and for none while a leader is heard."""
+    """Votes for at most one candidate in each term, and for none while a leader is in contact."""
 
     member: QuorumMember
 
     def receive_vote_request(
         self, sender: int, request: VoteRequest, now: int
     ) -> list[Outgoing[QuorumMessage]]:
-        """Return the vote, or the later term that the candidate does not know; else nothing."""
+        """Return a vote, or a message with this voter's later term, or nothing."""
         member = self.member
         table = member.table
         if now < member.silent_until or not {member.own_number, sender} <= member.voters:
             return []
         is_newer = (member.term, member.leader) < (request.term, sender)
         if not is_newer or request.term >= member.term + MAX_TERM_JUMP:
-            # No vote, but the requester learns the later term.
+            # Not a vote: it tells the candidate the later term.
             is_older = request.term < member.term
             return [Outgoing(sender, Vote(member.term, table.table_version, ()))] if is_older else []
         if member.has_leader(now) and member.leader != sender:
             if member.is_leader:
-                # Some voters are in a later term and would ignore this leader: it has to be elected again.
+                # Voters in a later term ignore this leader, so it has to be elected again.
                 member.enter_term(request.term, member.own_number)
                 member.next_send_at = now
             return []
@@ -46,12 +46,12 @@
 
 @dataclass(slots=True)
 class Candidate:
-    """Requests votes, and leads once a majority voted for this front.
+    """Requests votes, and makes this front the leader once it has those of a majority.
 
     Attributes:
         member: The state of this front as a member.
-        leader_role: Its role once it is elected.
-        votes: The votes for this front in the present term, by voter.
+        leader_role: The role that takes over once this front is elected.
+        votes: The votes for this front in the current term, by voter.
     """
 
     member: QuorumMember
@@ -70,7 +70,7 @@
         return [Outgoing(number, VoteRequest(member.term)) for number in voters]
 
     def receive_vote(self, sender: int, vote: Vote, now: int) -> None:
-        """Count a vote, or learn of a later term."""
+        """Count a vote, or enter the later term that the voter reports."""
         member = self.member
         if member.is_leader or now < member.silent_until or sender not in member.voters:
             return
@@ -78,15 +78,15 @@
             self.votes[sender] = vote
             self._count_votes(now)
         elif member.term < vote.term < member.term + MAX_TERM_JUMP:
-            member.enter_term(vote.term, NO_LEADER)  # so that this front's next request exceeds that term
+            member.enter_term(vote.term, NO_LEADER)  # this front's next election then exceeds it
 
     def _count_votes(self, now: int) -> None:
-        """Lead once a majority voted for this front, with the latest table among theirs.
+        """Become the leader once a majority voted for this front, with the latest of their tables.
 
-        That table holds all that was ever granted and counted.
+        That table contains every grant that was ever committed.
         """
         if self.member.is_leader or len(self.votes) * 2 <= len(self.member.voters):
             return
         latest = max(self.votes.values(), key=lambda vote: vote.table_version)
         self.votes = {}
-        self.leader_role.begin(latest.entries, now)
+        self.leader_role.take_leadership(latest.entries, now)
--- a/marbleglade/maintenance/lease_follower.py
+++ b/marbleglade/maintenance/lease_follower.py
@@ -1,4 +1,4 @@
-"""The follower of a lease quorum's leader: holds the leader's table, and confirms it."""
+"""Follower role of the lease quorum: stores the leader's table and confirms it."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @dataclass(slots=True)
 class Follower:
-    """Accepts the table of the latest leader, and nothing from an earlier one."""
+    """Accepts the table of the latest leader, and ignores appends of earlier ones."""
 
     member: QuorumMember
 
     def receive_append(self, sender: int, append: Append, now: int) -> list[Outgoing[QuorumMessage]]:
-        """Follow the leader, hold its table, and return the confirmation."""
+        """Follow the leader, store its table, and return the confirmation."""
         member = self.member
         table = member.table
         is_older = (append.term, sender) < (member.term, member.leader)
@@ -36,7 +36,7 @@
         return [Outgoing(sender, reply)]
 
     def _adopt_table(self, leader: int, append: Append, now: int) -> bool:
-        """Hold the leader's table if it is no older than the one held; return whether it is held."""
+        """Store the leader's table unless the stored one is newer; return whether it is now stored."""
         table = self.member.table
         table_version = TableVersion(append.term, leader, append.version)
         if append.entries is None or append.version < table.version:
@@ -48,9 +48,9 @@
         return True
 
     def _confirm_grants(self, append: Append) -> None:
-        """Confirm what a majority granted, as of when this front sent the message that the append echoes.
+        """Confirm committed grants, as of when this front sent the message whose stamp the append echoes.
 
-        The append was sent after that message arrived.
+        The leader sent the append after it received that message, so it held its lease at a later time.
         """
         sent_at = self.member.stamps.sent_at.get(append.echo)
         if append.committed and sent_at is not None:
--- a/marbleglade/maintenance/lease_quorum.py
+++ b/marbleglade/maintenance/lease_quorum.py
@@ -1,20 +1,20 @@
-"""Lease quorum: a table of the machines out of service, kept by a leader with a majority of the voters.
+"""Lease quorum: a table of the machines out of service, replicated by a leader to a majority of the voters.
 
-The voters are a few of the members, the same at all who have the same list of members. A leader is a voter
-that a majority voted for, and each vote contains the voter's table; so a new leader knows all that any leader
-before it granted. A grant counts once a majority of the voters has it, and a voter that voted for a later
-leader accepts nothing from an earlier one: two leaders can't both grant. A leader that hears no majority for
-a lease steps down. Other members are sent the table while they are out of service themselves, and once for
-each upstream that is granted, which they have to avoid.
+The voters are a few of the members; all members with the same list of members select the same voters. The
+leader is a voter with the votes of a majority. Each vote contains the voter's table, so a new leader has
+every grant that an earlier leader committed. A grant is in effect once a majority of the voters has it, and a
+voter that voted for a later leader ignores earlier leaders: two leaders can't both commit grants. A leader
+without confirmations of a majority for a lease steps down. Members without a vote are sent the table while
+they are out of service themselves, and once for each granted upstream, which they have to avoid.
 
-A front that is out of service stays so while its leader shows, in answer to the front's own messages, that a
-majority confirmed the table lately; else it returns. A revoked front counts as out until it knows. A front
-that restarted has forgotten its votes: it is silent for a lease, in which everything that relied on them
-expires or is renewed with others. `docs/notes/work.md` says why this holds, and
-`tests/maintenance/test_lease_quorum_states.py` searches it.
+A front stays out of service while its leader shows, by an echo of the front's own messages, that a majority
+confirmed the table recently; otherwise it returns. A revoked front counts as out until it confirms the
+revocation. A restarted front has lost its record of votes, so it is silent for a lease, in which everything
+that relied on those votes expires or is renewed with other votes. `docs/notes/work.md` explains why this
+holds, and `tests/maintenance/test_lease_quorum_states.py` checks it by a bounded search.
 
-A member's roles have a class each: `Voter` and `Candidate` (elections), `LeaseLeader` (changes and replicates
-the table) and `Follower` (holds and confirms it). They share the `QuorumMember`, with the `LeaseTable`.
+Each role of a member has a class: `Voter` and `Candidate` (elections), `LeaseLeader` (changes and replicates
+the table) and `Follower` (stores and confirms it). They share the `QuorumMember`, with the `LeaseTable`.
 
 Free of I/O, clocks and randomness; times are nanoseconds of the caller's monotonic clock.
 """
@@ -29,35 +29,35 @@
 from .lease_follower import Follower
 from .lease_leader import LeaseLeader
 from .lease_table import LeaseTable
-from .quorum_member import FOLLOW_SHARE, QuorumMember
+from .quorum_member import FOLLOW_TIMEOUT_SHARE, QuorumMember
 from .quorum_messages import Append, AppendReply, QuorumMessage, Vote, VoteRequest
 
-MAX_VOTERS = 9  # so that four may be unreachable
+MAX_VOTERS = 9  # a majority remains while four are unreachable
 
 
 @lru_cache(maxsize=4)
 def select_voters(count: int) -> frozenset[int]:
-    """Return the voters among so many members: all of few, else a few that depend on the count alone."""
-    by_draw = sorted(range(count), key=lambda number: rendezvous_draw(b"maintenance voter", number))
-    return frozenset(by_draw[:MAX_VOTERS])
+    """Return the voters of a fleet: up to `MAX_VOTERS` members, by a hash that depends on the count alone."""
+    by_hash = sorted(range(count), key=lambda number: rendezvous_draw(b"maintenance voter", number))
+    return frozenset(by_hash[:MAX_VOTERS])
 
 
 class LeaseQuorum:
-    """One member's part in the quorum: passes messages and timers to its roles.
+    """One member of the quorum; passes messages and timers to its roles.
 
     Args:
         own_number: The number of this front.
-        member_count: Members that are listed, whether alive or not.
-        lease: Nanoseconds.
-        now: The present time.
+        member_count: Number of listed members, alive or not.
+        lease: Duration of the lease, ns.
+        now: The current time.
 
     Attributes:
         member: The state that the roles share.
-        table: The machines out of service, as this front has them.
-        voter: Answers requests for votes.
+        table: This front's copy of the table of machines out of service.
+        voter: Answers vote requests.
         candidate: Requests votes for this front.
-        leader_role: Grants, revokes, and replicates the table.
-        follower: Holds the table of another front that leads.
+        leader_role: Grants and revokes machines, and replicates the table.
+        follower: Stores the table of another member that leads.
     """
 
     __slots__ = ("candidate", "follower", "leader_role", "member", "table", "voter")
@@ -83,20 +83,21 @@
         """Return the messages that are due.
 
         Args:
-            wants_leadership: There is a plan, and this front is the preferred leader.
-            now: The present time.
+            wants_leadership: Maintenance is pending, and this front is the preferred leader.
+            now: The current time.
         """
         member = self.member
         if member.is_leader:
             self.leader_role.count_confirmations(now)
-            if now - max(member.majority_at, member.last_contact_at) > member.lease:
+            if now - max(member.majority_confirmed_at, member.last_contact_at) > member.lease:
                 self.leader_role.step_down()
         if now < member.next_send_at or now < member.silent_until:
             return []
         if member.is_leader:
             return self.leader_role.send_table(now)
         follows_other = (
-            member.leader != member.own_number and now - member.last_contact_at < member.lease * FOLLOW_SHARE
+            member.leader != member.own_number
+            and now - member.last_contact_at < member.lease * FOLLOW_TIMEOUT_SHARE
         )
         if member.own_number not in member.voters or not wants_leadership or follows_other:
             return []
@@ -117,7 +118,7 @@
                 return []
 
     def resize(self, count: int, now: int) -> None:
-        """Follow a list of members of another length: with another majority, earlier votes are void."""
+        """Adapt to another number of members. The majority changes with it, so earlier votes are void."""
         self.member.member_count = count
         self.member.voters = select_voters(count)
         self.member.silent_until = now + self.member.lease
--- a/marbleglade/maintenance/lease_table.py
+++ b/marbleglade/maintenance/lease_table.py
@@ -8,19 +8,19 @@
 from ..runtime.units import MILLISECOND_NS
 from .quorum_messages import TableEntry, TableVersion
 
-STAY_OUT_SHARE = 1 / 2  # of a lease, for which a front stays out of service after its last confirmed request
+STAY_OUT_SHARE = 1 / 2  # of a lease; age of its confirmation at which a front's grant expires
 
 
 @dataclass(slots=True)
 class Grant:
-    """A machine in the table.
+    """Grant of a machine to be out of service.
 
     Attributes:
         started_ms: Start of its process when it was granted, in Unix milliseconds.
-        granted_version: Version of the table that granted it.
-        granted_at: When it was granted, ns.
-        revoked_version: At the leader that revoked it, the version of the table that does so; in a copy of
-            another member's table 1, as messages tell only whether it is revoked; 0: it is not.
+        granted_version: Version of the table that first contained the grant.
+        granted_at: Time of the grant, ns.
+        revoked_version: 0 if the grant is not revoked. At the leader that revoked it, the version of the
+            table that does so. In a copy of another member's table 1, as messages contain only a flag.
         revoked_at: When the leader revoked it or, at a new leader, took over the table, ns; else 0.
     """
 
@@ -33,16 +33,16 @@
 
 @dataclass(slots=True)
 class LeaseTable:
-    """The table, its version, and since when each grant is confirmed to this front.
+    """The table, its version, and as of when each grant was last confirmed.
 
     Attributes:
-        lease: Nanoseconds.
-        grants: The machines that are out of service, by the machine's key.
-        confirmed_at: By machine: as of when a majority is known to hold its grant.
-        version: Version of the table, within a leader's term.
-        committed: Latest version that a majority is known to have.
+        lease: Duration of the lease, ns.
+        grants: The machines that are out of service, by machine key.
+        confirmed_at: Latest time as of which a majority is known to hold each grant, ns, by machine key.
+        version: Version of the table within a leader's term.
+        committed: Latest version that a majority is known to hold.
         table_version: Term, leader and version of the table.
-        member_numbers: Numbers of the machines that are members, by the machine's key.
+        member_numbers: Numbers of the members, which are machines too, by machine key.
     """
 
     lease: int
@@ -54,7 +54,13 @@
     member_numbers: dict[int, int] = field(default_factory=dict)
 
     def may_stay_out(self, machine: int, started_ms: int, now: int) -> bool:
-        """Return whether this front, of that key and start, is granted and may still rely on it."""
+        """Return whether a front has a grant for this process start that has not expired.
+
+        Args:
+            machine: Machine key of the front.
+            started_ms: Start of its process, in Unix milliseconds.
+            now: The current time.
+        """
         grant = self.grants.get(machine)
         return (
             grant is not None
@@ -65,7 +71,7 @@
         )
 
     def committed_grants(self) -> dict[int, Grant]:
-        """Return what a majority granted, by machine."""
+        """Return the grants that a majority holds, by machine key."""
         return {
             machine: grant
             for machine, grant in self.grants.items()
@@ -73,7 +79,7 @@
         }
 
     def entries(self, now: int) -> tuple[TableEntry, ...]:
-        """Return the table as it is sent."""
+        """Return the table in the form in which it is sent."""
         return tuple(
             TableEntry(
                 machine,
@@ -86,7 +92,7 @@
         )
 
     def replace(self, entries: Iterable[TableEntry], now: int) -> None:
-        """Hold another member's table."""
+        """Replace the grants by those of another member's table."""
         self.grants = {
             entry.machine: Grant(
                 entry.started_ms,
@@ -98,13 +104,13 @@
         }
 
     def confirm_committed(self, committed: int, confirmed_at: int) -> None:
-        """Confirm, as of a time, the grants of versions up to the committed one that are not revoked."""
+        """Confirm, as of a time, the grants up to the committed version that are not revoked."""
         for machine, grant in self.grants.items():
             if grant.granted_version <= committed and not grant.revoked_version:
                 self.confirmed_at[machine] = max(confirmed_at, self.confirmed_at.get(machine, confirmed_at))
 
     def forget_void_confirmations(self) -> None:
-        """Forget the confirmations of machines that are revoked, or out of service no more."""
+        """Delete the confirmations of grants that are revoked or no longer in the table."""
         self.confirmed_at = {
             machine: confirmed_at
             for machine, confirmed_at in self.confirmed_at.items()
--- a/marbleglade/maintenance/maintenance_status.py
+++ b/marbleglade/maintenance/maintenance_status.py
@@ -1,4 +1,4 @@
-"""The status of a front's part in maintenance, as the log has it."""
+"""Status of maintenance at a front, as it is logged."""
 
 from __future__ import annotations
 
@@ -6,15 +6,17 @@
 
 
 class CoordinatorStatus(TypedDict):
-    """The plan in force, the lease quorum, and the schedule of its leader.
+    """Status of the plan in force, of the lease quorum, and of the leader's schedule.
 
     Attributes:
-        plan_created_ms: When the plan was written, in Unix milliseconds; 0: there is none.
-        leader: Number of the leader of the latest term; negative: none is known.
+        plan_created_ms: When the plan was written, in Unix milliseconds; 0: no plan is in force.
+        is_finished: This front, as the leader, has finished the plan in force.
+        term: The latest term of the lease quorum that this front is in.
+        leader: Number of the leader of that term; negative: none is known.
         out_of_service: Names of the machines that a majority granted, or their keys if the plan lacks them.
-        completed: How many machines of the plan are done.
-        waiting: Why machines are not granted yet, by name; only at the leader, as `halted`.
-        halted: Why nothing more of a kind is granted, by kind.
+        completed: Number of machines of the plan that are completed.
+        waiting: Why machines are not granted yet, by name; empty at members that don't lead.
+        halted: Why no more machines of a kind are granted, by kind; empty at members that don't lead.
     """
 
     plan_created_ms: int
@@ -30,7 +32,7 @@
 
 
 class MaintenanceStatus(CoordinatorStatus):
-    """The status of the coordinator, and that of this front's drain."""
+    """Status of the coordinator, of this front's drain (`stage`), and of its table inquiry."""
 
     stage: str
     is_informed: bool
--- a/marbleglade/maintenance/messages.py
+++ b/marbleglade/maintenance/messages.py
@@ -17,8 +17,8 @@
 
     Attributes:
         created_ms: When the plan was written, in Unix milliseconds.
-        digest: CRC-32 of its bytes.
-        size: Their number.
+        digest: CRC-32 of the packed plan.
+        size: Size of the packed plan, in bytes.
     """
 
     created_ms: int
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlanPartRequest:
-    """Request for one part of the plan with that digest."""
+    """Request for a part, by its index, of the plan with a digest."""
 
     digest: int
     part: int
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlanPart:
-    """One part of the plan with that digest."""
+    """A part, with its index, of the plan with a digest."""
 
     digest: int
     part: int
--- a/marbleglade/maintenance/plan.py
+++ b/marbleglade/maintenance/plan.py
@@ -1,6 +1,6 @@
 """Maintenance plans: machines to take out of service, and the limits that apply.
 
-Times are Unix milliseconds, as starts are.
+Times are Unix milliseconds, like the start times of processes.
 """
 
 from __future__ import annotations
@@ -11,11 +11,15 @@
 
 from ..model.upstream import name_hash
 
-MAX_OUT_OF_SERVICE = 10  # machines at once, whatever a plan allows: a table of them fits a datagram
+MAX_OUT_OF_SERVICE = 10  # machines at once, whatever a plan allows, so that the table fits in a datagram
 
 
 def front_name(number: int) -> str:
-    """Return a front's name as a machine, by its position in the list of peers."""
+    """Return the machine name of a front.
+
+    Args:
+        number: Position of the front in the list of peers.
+    """
     return f"front {number}"
 
 
@@ -42,8 +46,8 @@
         name: An upstream's id, or `front_name` of a front.
         kind: Its kind.
         zone: Its zone.
-        max_duration_ms: How long it may be out of service.
-        after: Names of the machines that have to be completed before.
+        max_duration_ms: Longest time that it may be out of service, in milliseconds.
+        after: Names of the machines that have to be completed before this one goes out of service.
     """
 
     name: str
@@ -54,23 +58,23 @@
 
     @property
     def group(self) -> Group:
-        """Its kind and zone."""
+        """Kind and zone of the machine."""
         return Group(self.kind, self.zone)
 
     @property
     def key(self) -> int:
-        """The 32-bit hash that stands for its name in messages between fronts."""
+        """The 32-bit hash that represents the machine's name in messages between fronts."""
         return name_hash(self.name.encode())
 
 
 @dataclass(slots=True, frozen=True)
 class ConcurrencyLimit:
-    """The most machines out at once, of a kind, of a zone, or of a kind in a zone.
+    """Limit of the machines out of service at once, of a kind, a zone, or a kind in a zone.
 
     Attributes:
-        max_count: How many.
-        kind: None: of any kind.
-        zone: Empty: in any zone.
+        max_count: Most machines out of service at once.
+        kind: Kind of the machines that are counted; None: any kind.
+        zone: Zone of the machines that are counted; empty: any zone.
     """
 
     max_count: int
@@ -91,12 +95,12 @@
     """Machines to take out of service one after the other.
 
     Attributes:
-        created_ms: When it was written; a later plan replaces an earlier one.
-        machines: What to take out of service.
-        limits: How many may be out at once.
-        min_serving_share: Part of each kind in each zone that serves at any time.
-        drain_timeout_ms: How long the drain of a front may take.
-        withdrawn: No further machine is taken out, and fronts that are out return.
+        created_ms: When the plan was written; a later plan replaces an earlier one.
+        machines: Machines to take out of service.
+        limits: Limits of the machines that are out of service at once.
+        min_serving_share: Least share of each kind in each zone that serves at any time.
+        drain_timeout_ms: Longest duration of a front's drain, in milliseconds.
+        withdrawn: No further machine is taken out, and fronts that are out and still run return to service.
     """
 
     created_ms: int
--- a/marbleglade/maintenance/plan_exchange.py
+++ b/marbleglade/maintenance/plan_exchange.py
@@ -1,4 +1,4 @@
-"""Exchange of the plan in force between members: offers, requests for its parts, and the parts.
+"""Exchange of the plan in force between members, by offers, requests for its parts, and the parts.
 
 Free of I/O, clocks and randomness; times are nanoseconds of the caller's monotonic clock.
 """
@@ -24,7 +24,7 @@
 from .plan_file import unpack_plan
 from .quorum_member import RENEWAL_SHARE
 
-MAX_CREATED_AHEAD_MS = 60_000  # a plan written further ahead of the clock than this is invalid
+MAX_CREATED_AHEAD_MS = 60_000  # a plan that was written further ahead of this front's clock is rejected
 REQUEST_INTERVAL_SHARE = 1 / 24  # of a lease, between two requests for missing parts
 PARTS_PER_REQUEST = 8
 NO_MEMBER = -1
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Transfer:
-    """A plan that another member offers, and its parts so far."""
+    """Transfer of an offered plan from another member, with the parts received so far."""
 
     offer: PlanOffer
     sender: int
@@ -40,21 +40,21 @@
 
     @property
     def part_count(self) -> int:
-        """How many parts the plan has."""
+        """Number of parts of the plan."""
         return -(-self.offer.size // PART_BYTES)
 
-    def missing(self) -> list[int]:
-        """Return the parts that have not arrived."""
+    def missing_parts(self) -> list[int]:
+        """Return the indices of the parts that have not arrived."""
         return [part for part in range(self.part_count) if part not in self.parts]
 
     def accepts(self, part: PlanPart) -> bool:
-        """Return whether this is a part of the plan, of the right size."""
+        """Return whether a part belongs to the offered plan and has the expected size."""
         if part.digest != self.offer.digest or part.part >= self.part_count:
             return False
         return len(part.data) == min(PART_BYTES, self.offer.size - part.part * PART_BYTES)
 
     def assemble(self) -> bytes:
-        """Join the parts once all have arrived."""
+        """Return the packed plan, joined from its parts. All must have arrived."""
         return b"".join(self.parts[part] for part in range(self.part_count))
 
 
@@ -63,36 +63,37 @@
 
     Args:
         own_number: The number of this front.
-        lease: Nanoseconds of the maintenance lease; all intervals are shares of it.
+        lease: Duration of the maintenance lease, ns; all intervals are shares of it.
         started_ms: When this front started, in Unix milliseconds.
-        now: The present time.
+        now: The current time.
     """
 
     def __init__(self, own_number: int, lease: int, started_ms: int, now: int) -> None:
         self.own_number = own_number
         self.lease = lease
         self.started_ms = started_ms
-        self.created_at = now
+        self.started_at = now
         self.plan: MaintenancePlan | None = None
         self.plan_bytes = b""
         self.digest = 0
         self.transfer: Transfer | None = None
         self.requested_at = now - lease
-        self.offered_at = now - lease  # to the leader
-        self.round_at = now - lease  # when the leader began its present round of offers
-        self.offered_to: set[int] = set()  # members that were offered the plan in this round
-        self.agreeing_member = NO_MEMBER  # the last member that offered the same plan
-        self.rejected_digest = 0  # of a plan that is invalid, which is not requested again
+        self.offered_at = now - lease  # when this front last offered the plan to the leader
+        self.round_started_at = now - lease  # when the leader began its current round of offers
+        self.offered_to: set[int] = set()  # members that received an offer in this round
+        self.member_with_same_plan = NO_MEMBER  # the last member that offered the plan in force
+        self.rejected_digest = 0  # digest of an invalid plan, which is not requested again
 
     def unix_ms(self, now: int) -> int:
-        """Convert a time to Unix milliseconds."""
-        return self.started_ms + (now - self.created_at) // MILLISECOND_NS
+        """Convert a time of the monotonic clock to Unix milliseconds."""
+        return self.started_ms + (now - self.started_at) // MILLISECOND_NS
 
     def adopt(self, plan: MaintenancePlan, plan_bytes: bytes, now: int) -> bool:
         """Put a plan in force; false if it is no later than the one in force, or created too far ahead.
 
-        Which of the two is not told, and nothing is logged here. A plan from another member that is invalid,
-        or is not put in force, leaves no trace but `rejected_digest`; the status shows the plan in force.
+        The result does not tell these two cases apart, and nothing is logged. A plan from another member that
+        is invalid or not put in force leaves no trace but `rejected_digest`; the status shows the plan in
+        force.
         """
         digest = zlib.crc32(plan_bytes)
         if self._is_too_far_ahead(plan.created_ms, now) or not self.supersedes_plan(plan.created_ms, digest):
@@ -101,43 +102,43 @@
         self.plan_bytes = plan_bytes
         self.digest = digest
         self.transfer = None
-        self.offered_at = self.round_at = now - self.lease
-        self.agreeing_member = NO_MEMBER
+        self.offered_at = self.round_started_at = now - self.lease
+        self.member_with_same_plan = NO_MEMBER
         return True
 
     def supersedes_plan(self, created_ms: int, digest: int) -> bool:
-        """Return whether such a plan wins over the one in force; the same at all members."""
+        """Return whether a plan replaces the one in force; all members decide alike."""
         if self.plan is None:
             return (created_ms, digest) > (0, 0)
         return (created_ms, digest) > (self.plan.created_ms, self.digest)
 
     def offer(self) -> PlanOffer:
-        """Return the offer of the plan in force, which there has to be."""
+        """Return the offer of the plan in force. There must be one."""
         created_ms = self.plan.created_ms if self.plan else 0
         return PlanOffer(created_ms, self.digest, len(self.plan_bytes))
 
     def offer_to_members(
         self, reached: set[int], required: set[int], now: int
     ) -> list[Outgoing[MaintenanceMessage]]:
-        """Offer the plan, as the leader, to required members: at once, and again once per lease.
+        """As the leader, offer the plan to required members: at once, then again once per lease.
 
         Args:
-            reached: Members to which the leader sends now.
+            reached: Members to which the leader sends an append now.
             required: Members that need the plan.
-            now: The present time.
+            now: The current time.
         """
-        if now - self.round_at >= self.lease:  # a member that started lately lacks it
-            self.round_at = now
+        if now - self.round_started_at >= self.lease:  # a restarted member lacks the plan
+            self.round_started_at = now
             self.offered_to = set()
         receivers = reached & required - self.offered_to
         self.offered_to |= receivers
         return [Outgoing(receiver, self.offer()) for receiver in sorted(receivers)]
 
     def offer_to_leader(self, leader: int | None, now: int) -> list[Outgoing[MaintenanceMessage]]:
-        """Offer the plan to the leader, unless the leader has offered the same one."""
+        """Offer the plan to the leader, unless it is known to have the same plan."""
         if now - self.offered_at < self.lease * RENEWAL_SHARE:
             return []
-        if leader is None or leader in (self.own_number, self.agreeing_member):
+        if leader is None or leader in (self.own_number, self.member_with_same_plan):
             return []
         self.offered_at = now
         return [Outgoing(leader, self.offer())]
@@ -148,15 +149,15 @@
         """Process another member's offer.
 
         Args:
-            sender: The member.
-            offer: Its plan.
+            sender: Number of the other member.
+            offer: The offer.
             is_leader: This front is the leader.
-            voters: The members that vote.
-            now: The present time.
+            voters: Numbers of the members that vote.
+            now: The current time.
         """
         if self.plan and (offer.created_ms, offer.digest) == (self.plan.created_ms, self.digest):
-            self.agreeing_member = sender
-            # The leader offers it to voters unasked; any other member repeats its offer until it is answered.
+            self.member_with_same_plan = sender
+            # Voters get the leader's offers anyway; any other member repeats its offer until it is answered.
             return [Outgoing(sender, self.offer())] if is_leader and sender not in voters else []
         if not self.supersedes_plan(offer.created_ms, offer.digest):
             return [Outgoing(sender, self.offer())] if is_leader else []
@@ -171,31 +172,31 @@
         return [Outgoing(sender, PlanPart(self.digest, request.part, data))] if data else []
 
     def receive_part(self, part: PlanPart, now: int) -> list[Outgoing[MaintenanceMessage]]:
-        """Keep a part, put the plan in force once it is complete, and request what is missing."""
+        """Store a part, put the plan in force once it is complete, and request missing parts."""
         transfer = self.transfer
         if transfer and transfer.accepts(part):
             transfer.parts[part.part] = part.data
             if len(transfer.parts) % PARTS_PER_REQUEST == 0:
-                self.requested_at = now - self.lease  # the next request need not wait
-            if not transfer.missing():
+                self.requested_at = now - self.lease  # the next request is due at once
+            if not transfer.missing_parts():
                 self.transfer = None
                 self._adopt_transferred(transfer, now)
         return self.request_missing(now)
 
     def request_missing(self, now: int) -> list[Outgoing[MaintenanceMessage]]:
-        """Request the next few missing parts, if that is due."""
+        """Return requests for the next few missing parts, if they are due."""
         if self.transfer is None or now - self.requested_at < self.lease * REQUEST_INTERVAL_SHARE:
             return []
         self.requested_at = now
         digest, sender = self.transfer.offer.digest, self.transfer.sender
-        parts = self.transfer.missing()[:PARTS_PER_REQUEST]
+        parts = self.transfer.missing_parts()[:PARTS_PER_REQUEST]
         return [Outgoing(sender, PlanPartRequest(digest, part)) for part in parts]
 
     def _is_too_far_ahead(self, created_ms: int, now: int) -> bool:
         return created_ms > self.unix_ms(now) + MAX_CREATED_AHEAD_MS
 
     def _is_acceptable(self, offer: PlanOffer, now: int) -> bool:
-        """Return whether a plan may be transferred, and is not older than one in transfer."""
+        """Return whether the offered plan is valid so far and not older than the one in transfer."""
         is_possible = (
             0 < offer.size <= MAX_PLAN_PARTS * PART_BYTES
             and not self._is_too_far_ahead(offer.created_ms, now)
@@ -207,7 +208,7 @@
         return (current.created_ms, current.digest) <= (offer.created_ms, offer.digest)
 
     def _begin_transfer(self, sender: int, offer: PlanOffer) -> None:
-        """Begin a transfer, or go on with that of the same plan from this sender."""
+        """Begin a transfer from a sender, with the parts of the same plan that already arrived."""
         current = self.transfer
         parts = current.parts if current is not None and current.offer == offer else {}
         self.transfer = Transfer(offer, sender, parts)
--- a/marbleglade/maintenance/plan_file.py
+++ b/marbleglade/maintenance/plan_file.py
@@ -1,4 +1,4 @@
-"""Reader of maintenance plans: protobuf text format from a file, or the bytes that another front sent.
+"""Reader of maintenance plans, as protobuf text format in a file or as a packed plan from another front.
 
 A plan is validated completely before any of it is used; all errors are reported at once.
 """
@@ -23,22 +23,22 @@
 DEFAULT_MIN_SERVING_SHARE = 0.5
 TAKES_MS_BOUNDS = Bounds("takes_ms", 1_000, 86_400_000)
 DEADLINE_MS_BOUNDS = Bounds("deadline_ms", 100, 600_000)
-EARLIEST_UNIX_MS = 1_000_000_000_000  # a time in seconds, given by mistake, is below this
+EARLIEST_UNIX_MS = 1_000_000_000_000  # a lower value is a time in seconds by mistake
 
 
 def machine_name(job: Job) -> str:
-    """Return the name of a job's machine."""
+    """Return the name of the machine that a job names."""
     return front_name(job.front) if job.HasField("front") else job.place
 
 
 def find_errors(message: WorkOrder) -> Iterator[str]:
-    """Yield a sentence for each fault of a plan."""
+    """Yield a description of each error in a plan."""
     yield from _find_plan_errors(message)
     jobs: dict[str, Job] = {}
     for position, job in enumerate(message.job, 1):
         name = machine_name(job)
         if job.HasField("front") == bool(job.place):
-            yield f"job {position} names no machine, or two"
+            yield f"job {position} names no machine, or two: either front or place is expected"
             continue
         if name in jobs:
             yield f"{name} is named twice"
@@ -47,21 +47,21 @@
     for name, job in jobs.items():
         for other in job.after:
             if other not in jobs:
-                yield f"{name} comes after {other}, which the order does not name"
+                yield f"{name} comes after {other}, which no job names"
     if cycle := _find_cycle({name: list(job.after) for name, job in jobs.items()}):
-        yield f"these wait for each other: {', '.join(cycle)}"
+        yield f"machines wait for each other: {', '.join(cycle)}"
     for limit in message.limit:
         if not limit.most:
-            yield "a limit of 0 would let nothing go"
+            yield "a limit of 0 would let no machine go out of service, at least 1 is expected"
 
 
 def _find_plan_errors(message: WorkOrder) -> Iterator[str]:
     if message.asked_ms < EARLIEST_UNIX_MS:
         yield "asked_ms is no Unix time in milliseconds"
     if not message.job and not message.withdrawn:
-        yield "it names no machine"
+        yield "the plan names no machine and is not withdrawn"
     if len(message.job) > MAX_MACHINES:
-        yield f"it names {len(message.job)} machines, {MAX_MACHINES} at most"
+        yield f"the plan names {len(message.job)} machines, at most {MAX_MACHINES} are allowed"
     if message.HasField("floor") and not 0 < message.floor < 1:
         yield f"floor is {message.floor:g}, not over 0 and under 1"
     has_deadline = message.HasField("deadline_ms")
@@ -71,23 +71,23 @@
 
 def _find_job_errors(name: str, job: Job) -> Iterator[str]:
     if job.HasField("front") and job.kind not in (KindCode.ANY, KindCode.FRONT):
-        yield f"{name} is a front, and its kind says otherwise"
+        yield f"{name} is a front, but its kind is not FRONT"
     if job.place and job.kind == KindCode.FRONT:
-        yield f"{name} is a place; fronts are named by their number"
+        yield f"{name} is a place, but its kind is FRONT: a front is named by its number"
     if job.HasField("takes_ms") and (error := TAKES_MS_BOUNDS.violation(job.takes_ms)):
         yield f"{name}: {error}"
 
 
 def _find_cycle(after: dict[str, list[str]]) -> list[str]:
-    """Return the machines that can never be taken out, as each waits for another of them."""
+    """Return the machines that can never go out of service, as each waits for another of them."""
     remaining = set(after)
-    while free := {name for name in remaining if not any(other in remaining for other in after[name])}:
-        remaining -= free
+    while ready := {name for name in remaining if not any(other in remaining for other in after[name])}:
+        remaining -= ready
     return sorted(remaining)
 
 
 def build_plan(message: WorkOrder) -> MaintenancePlan:
-    """Build a plan from its message.
+    """Build a plan from its protobuf message.
 
     Raises:
         InvalidConfigurationError: With all errors of the plan.
@@ -122,13 +122,13 @@
 
 
 def pack_plan(message: WorkOrder) -> bytes:
-    """Pack a plan as one front sends it to another."""
+    """Return a plan's packed form, in which fronts send it to each other."""
     return zlib.compress(message.SerializeToString(deterministic=True), 9)
 
 
 @dataclass(slots=True, frozen=True)
 class LoadedPlan:
-    """A plan, and the bytes in which it is sent to other fronts."""
+    """A plan with its packed form."""
 
     plan: MaintenancePlan
     packed: bytes
@@ -148,7 +148,7 @@
 
 
 def unpack_plan(data: bytes) -> MaintenancePlan:
-    """Read a plan that another front sent.
+    """Read a packed plan that another front sent.
 
     Raises:
         InvalidConfigurationError: With all errors of the plan.
@@ -158,8 +158,8 @@
     try:
         serialized = decompressor.decompress(data, MAX_FILE_BYTES)
         if decompressor.unconsumed_tail or not decompressor.eof or decompressor.unused_data:
-            raise InvalidConfigurationError("too long, or incomplete")
+            raise InvalidConfigurationError("packed plan is too long, or incomplete")
         message.ParseFromString(serialized)
     except (zlib.error, DecodeError) as error:
-        raise InvalidConfigurationError(f"not a maintenance plan: {error}") from error
+        raise InvalidConfigurationError(f"data is not a packed maintenance plan: {error}") from error
     return build_plan(message)
--- a/marbleglade/maintenance/quorum_messages.py
+++ b/marbleglade/maintenance/quorum_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which the members agree on the machines that are out of service."""
+"""Messages of the lease quorum, by which members agree on the machines that are out of service."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TableVersion(NamedTuple):
-    """Which table a member holds; the greatest among those of a majority is the latest."""
+    """Version of the table that a member holds; the greatest one among a majority is the latest."""
 
     term: int = 0
     leader: int = NO_LEADER
@@ -18,13 +18,13 @@
 
 @dataclass(slots=True, frozen=True)
 class TableEntry:
-    """A machine that is out of service.
+    """A grant in the table, as it is sent.
 
     Attributes:
-        machine: Its key.
+        machine: Key of the machine.
         started_ms: Start of its process when it was granted, in Unix milliseconds.
-        granted_version: Version of the table that granted it.
-        age_ms: How long ago that was.
+        granted_version: Version of the table that first contained the grant.
+        age_ms: Age of the grant, in milliseconds.
         revoked: The grant is revoked.
     """
 
@@ -37,19 +37,19 @@
 
 @dataclass(slots=True, frozen=True)
 class VoteRequest:
-    """A voter asks for votes in a term."""
+    """A candidate's request for votes in a term."""
 
     term: int
 
 
 @dataclass(slots=True, frozen=True)
 class Vote:
-    """A vote, with the table that the voter holds.
+    """A vote, or the report of a later term.
 
     Attributes:
-        term: The term voted for; another one than requested is no vote, but the latest term known.
+        term: The requested term; a later one is not a vote, but reports the term that the voter is in.
         table_version: Version of the voter's table.
-        entries: The voter's table.
+        entries: The voter's table; empty if this is not a vote.
     """
 
     term: int
@@ -59,15 +59,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Append:
-    """A leader's table.
+    """A leader's table, sent to renew its lease and to replicate changes.
 
     Attributes:
         term: The leader's term.
         version: Version of the table.
-        committed: Version that a majority has; 0: no majority confirmed the table lately.
-        stamp: The leader's number of this message.
+        committed: Latest version that a majority holds; 0: no majority confirmed the table recently.
+        stamp: The leader's stamp of this message.
         echo: The last stamp that the leader received from the receiver.
-        entries: The table; None: as the receiver has it.
+        entries: The table; None: the receiver already has this version.
     """
 
     term: int
@@ -84,9 +84,9 @@
 
     Attributes:
         term: Term of the append.
-        version: Version of the table that the member has; 0: not the leader's table.
+        version: Version of the leader's table that the member holds; 0: it holds another table.
         answered_stamp: Stamp of the append.
-        own_stamp: The member's number of this message.
+        own_stamp: The member's stamp of this message.
     """
 
     term: int
--- a/marbleglade/maintenance/schedule.py
+++ b/marbleglade/maintenance/schedule.py
@@ -1,8 +1,9 @@
 """Schedule of a maintenance plan: which machines go out of service now, which wait and why, which return.
 
-Everything is decided from one snapshot: what is out of service, what serves, what has warmed up and the
-present load. A machine is completed once it is observed with a start later than the plan, so no record of it
-is needed after a restart. A machine that does not serve, for any reason, counts as out.
+Decisions depend on one snapshot alone: which machines are out of service, which serve, which have warmed up,
+and the current load. A machine is completed once it serves with a process start later than the plan, so the
+progress of a plan needs no record that would have to survive a restart. A machine that does not serve, for
+any reason, counts as out of service.
 
 Free of I/O, clocks and randomness.
 """
@@ -15,19 +16,19 @@
 from .plan import MAX_OUT_OF_SERVICE, ConcurrencyLimit, Group, Kind, Machine, MaintenancePlan
 from .snapshot import FleetSnapshot, is_out_of_service, is_serving
 
-MAX_LOAD = 0.8  # share of the serving capacity; above it no further machine is taken out
+MAX_LOAD = 0.8  # load over serving capacity, above which no further machine is taken out
 
 
 @dataclass(slots=True)
 class ScheduleDecision:
-    """What follows from a snapshot.
+    """Decision that follows from a plan and a snapshot.
 
     Attributes:
-        granted: Machines that go out of service now.
-        recalled: Fronts that return now.
-        completed: Machines that are done.
-        waiting: Why each other machine waits.
-        halted: Why a kind is halted.
+        granted: Names of the machines that go out of service now.
+        recalled: Names of the fronts that return to service now.
+        completed: Names of the machines whose maintenance is completed.
+        waiting: Why each other machine waits, by name.
+        halted: Why no more machines of a kind are granted, by kind.
     """
 
     granted: list[str] = field(default_factory=list)
@@ -38,39 +39,39 @@
 
     @property
     def is_finished(self) -> bool:
-        """Nothing waits and nothing goes out."""
+        """True if no machine waits and none goes out of service."""
         return not self.waiting and not self.granted
 
 
 def decide(plan: MaintenancePlan, snapshot: FleetSnapshot) -> ScheduleDecision:
-    """Decide which machines go out of service now, one by one, each with those before it counted as out."""
+    """Decide, machine by machine, which go out of service now; each one counts as out for the next."""
     return _Scheduler(plan, snapshot).decide()
 
 
 class _ServingCounts:
-    """How many machines there are and how many are away, of each kind and of each group."""
+    """Number of machines, and of those that do not serve, for each kind and each group."""
 
     def __init__(self, snapshot: FleetSnapshot) -> None:
         self.groups = snapshot.groups
         self.unavailable = {name for name in snapshot.groups if not is_serving(snapshot, name)}
-        self.size: Counter[Group | Kind] = Counter()
-        self.away: Counter[Group | Kind] = Counter()
+        self.sizes: Counter[Group | Kind] = Counter()
+        self.not_serving: Counter[Group | Kind] = Counter()
         for name in snapshot.groups:
-            self._add(self.size, name, 1)
+            self._add(self.sizes, name, 1)
         for name in self.unavailable:
-            self._add(self.away, name, 1)
-        self.serving_before = {kind: self.size[kind] - self.away[kind] for kind in Kind}
+            self._add(self.not_serving, name, 1)
+        self.serving_before = {kind: self.sizes[kind] - self.not_serving[kind] for kind in Kind}
         self.unavailable |= {name for name in snapshot.grants if is_out_of_service(snapshot, name)}
 
     def take_out(self, name: str) -> None:
-        """Count a machine as away."""
+        """Count a machine as not serving."""
         self.unavailable.add(name)
-        self._add(self.away, name, 1)
+        self._add(self.not_serving, name, 1)
 
     def bring_back(self, name: str) -> None:
         """Count a machine as serving."""
         self.unavailable.discard(name)
-        self._add(self.away, name, -1)
+        self._add(self.not_serving, name, -1)
 
     def _add(self, counts: Counter[Group | Kind], name: str, count: int) -> None:
         if group := self.groups.get(name):
@@ -79,7 +80,7 @@
 
 
 class _Scheduler:
-    """One decision: a plan, a snapshot, and what is decided so far."""
+    """State of one decision: the plan, the snapshot, and what has been decided so far."""
 
     def __init__(self, plan: MaintenancePlan, snapshot: FleetSnapshot) -> None:
         self.plan = plan
@@ -115,7 +116,7 @@
         return self._is_restarted(machine.name) and is_serving(self.snapshot, machine.name)
 
     def _candidates(self) -> list[Machine]:
-        """Return what is left to do, the slowest first; equal ones by their key, the same at all fronts."""
+        """Return the machines still to take out, the slowest first, equal ones in the order of their keys."""
         remaining = [
             machine
             for machine in self.plan.machines
@@ -128,15 +129,15 @@
         return observation.slowdown if observation else 0.0
 
     def _halt_kinds(self) -> None:
-        """Halt the kind of a machine that is out for too long, or that failed after its return.
+        """Halt the kind of a machine that is out for too long, or that failed after its restart.
 
-        The kind is halted until that machine is back and warm, or a later plan leaves it out.
+        The kind is halted until that machine is back and warm, or a later plan does not contain it.
         """
         for machine in self.plan.machines:
             name = machine.name
             observation = self.snapshot.observations.get(name)
             if is_out_of_service(self.snapshot, name):
-                out_for_ms = self.snapshot.now_ms - self.snapshot.grants[name].since_ms
+                out_for_ms = self.snapshot.now_ms - self.snapshot.grants[name].granted_ms
                 if out_for_ms > machine.max_duration_ms:
                     limit = f"{machine.max_duration_ms} ms allowed"
                     self.decision.halted[machine.kind] = f"{name} is out for longer than the {limit}"
@@ -144,15 +145,15 @@
                 self.decision.halted[machine.kind] = f"{name} came back and failed"
 
     def _recall_fronts(self) -> None:
-        """Recall fronts that are out and still run, the last granted first.
+        """Recall fronts that are out of service and still run, the last granted first.
 
-        They are recalled if the plan is withdrawn or leaves them out, or if too few others serve now.
+        They are recalled if the plan is withdrawn or does not contain them, or if too few others serve now.
         """
         snapshot = self.snapshot
         fronts = [name for name in snapshot.grants if self._is_running_front(name)]
-        for name in sorted(fronts, key=lambda name: -snapshot.grants[name].since_ms):
+        for name in sorted(fronts, key=lambda name: -snapshot.grants[name].granted_ms):
             is_planned = name in self.machines and not self.plan.withdrawn
-            if not is_planned or self._reason_of_capacity(snapshot.groups[name], 0):
+            if not is_planned or self._capacity_reason(snapshot.groups[name], 0):
                 self.decision.recalled.append(name)
                 self.counts.bring_back(name)
 
@@ -164,39 +165,39 @@
         return is_front and is_up and is_out_of_service(self.snapshot, name)
 
     def _blocking_reason(self, machine: Machine) -> str:
-        """Return why a machine can't go out now; "" if it can."""
+        """Return why a machine can't go out of service now; "" if it can."""
         return (
-            self._reason_of_machine(machine)
-            or self._reason_of_others(machine)
-            or self._reason_of_capacity(machine.group, 1)
+            self._machine_reason(machine)
+            or self._concurrency_reason(machine)
+            or self._capacity_reason(machine.group, 1)
         )
 
-    def _reason_of_machine(self, machine: Machine) -> str:
+    def _machine_reason(self, machine: Machine) -> str:
         name = machine.name
         if name not in self.snapshot.observations:
             return "is not listed"
         if self._is_restarted(name):
-            return "is back and not warm yet"
+            return "has restarted and is not warm yet"
         if name in self.counts.unavailable:
             return "does not serve and was not taken out"
         if machine.kind in self.decision.halted:
             return self.decision.halted[machine.kind]
         return ""
 
-    def _reason_of_others(self, machine: Machine) -> str:
+    def _concurrency_reason(self, machine: Machine) -> str:
         unavailable = self.counts.unavailable
         if self.decision.recalled:
-            return "others are recalled"
+            return "waits for the recall of fronts"
         pending = [name for name in machine.after if name not in self.completed]
         if pending:
             return f"comes after {', '.join(pending)}"
         if len(unavailable) >= MAX_OUT_OF_SERVICE:
-            return f"{MAX_OUT_OF_SERVICE} are out"
+            return f"{MAX_OUT_OF_SERVICE} machines are out, the most at once"
         for limit in self.plan.limits:
             if limit.applies_to(machine) and (reason := self._limit_reason(limit)):
                 return reason
         adjacent = [name for name in unavailable if frozenset((name, machine.name)) in self.snapshot.adjacent]
-        return f"is next to {min(adjacent)} in the hash of hot objects" if adjacent else ""
+        return f"shares hot objects with {min(adjacent)}, which does not serve" if adjacent else ""
 
     def _limit_reason(self, limit: ConcurrencyLimit) -> str:
         counted = sorted(
@@ -207,20 +208,20 @@
         return f"{limit}, and {', '.join(counted[:3])} {'is' if len(counted) == 1 else 'are'} out"
 
     def _machine_named(self, name: str) -> Machine:
-        """Return a machine of the plan, or one that is not in it, for limits."""
+        """Return the machine with a name; one that is not in the plan is built from its group, for limits."""
         if name in self.machines:
             return self.machines[name]
         group = self.snapshot.groups.get(name, Group(Kind.CACHE, ""))
         return Machine(name, group.kind, group.zone)
 
-    def _reason_of_capacity(self, group: Group, taken_out: int) -> str:
-        """Return why a group can't spare so many more of its serving machines; "" if it can."""
+    def _capacity_reason(self, group: Group, taken_out: int) -> str:
+        """Return why a group can't spare `taken_out` more of its serving machines; "" if it can."""
         kind = group.kind
-        size = self.counts.size[group]
-        left = size - self.counts.away[group] - taken_out
+        size = self.counts.sizes[group]
+        left = size - self.counts.not_serving[group] - taken_out
         floor = self.plan.min_serving_share
         if left < floor * size or left <= 0:
-            return f"{left} of {size} would be left, the floor is {floor:g}"
-        serving = self.counts.size[kind] - self.counts.away[kind] - taken_out
+            return f"{left} of {size} would be left in service, the floor is a share of {floor:g}"
+        serving = self.counts.sizes[kind] - self.counts.not_serving[kind] - taken_out
         load = self.snapshot.load.get(kind, 0.0) * self.counts.serving_before[kind] / max(1, serving)
         return f"the rest would carry {load:.2f} of its capacity" if load > MAX_LOAD else ""
--- a/marbleglade/maintenance/snapshot.py
+++ b/marbleglade/maintenance/snapshot.py
@@ -1,6 +1,6 @@
 """State of all machines at one time, from which a maintenance plan is scheduled.
 
-Times are Unix milliseconds, as starts are.
+Times are Unix milliseconds, like the start times of processes.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 @dataclass(slots=True)
 class NodeObservation:
-    """What is observed of one machine.
+    """Observed state of one machine.
 
     Attributes:
         started_ms: When its process started.
-        up: It serves.
-        warm: It has warmed up.
-        slowdown: Recent time of its transfers over that at full throughput.
+        up: The machine is alive, active and not ejected.
+        warm: The machine has warmed up since its start.
+        slowdown: Recent duration of its transfers, relative to that at full throughput.
     """
 
     started_ms: int
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ObservedUpstream:
-    """An upstream's kind and zone, and its state."""
+    """An upstream's group and its observed state."""
 
     group: Group
     node: NodeObservation
@@ -41,11 +41,11 @@
 
 @dataclass(slots=True)
 class Observation:
-    """What this front observes of upstreams.
+    """State of the upstreams, as one front observes them.
 
     Attributes:
-        upstreams: By name.
-        load: Of each kind, relative to the capacity that serves.
+        upstreams: Group and state of each upstream, by name.
+        load: Load of each kind, relative to its serving capacity.
         adjacent: Pairs of upstreams that are the first two choices for a hot object.
     """
 
@@ -56,9 +56,9 @@
 
 @dataclass(slots=True)
 class GrantedMachine:
-    """Since when a machine is granted to go out of service, and the start of its process then."""
+    """Time of a machine's grant to be out of service, and the start of its process at that time."""
 
-    since_ms: int
+    granted_ms: int
     started_ms: int
 
 
@@ -67,11 +67,11 @@
     """State of all machines at one time.
 
     Attributes:
-        now_ms: The present time.
-        observations: What is observed of all listed machines, in the plan or not.
-        groups: The group of each of them.
-        grants: Machines in the table of grants; one that was seen with a later start is back in service.
-        load: The load of each kind, relative to the capacity that serves.
+        now_ms: Time of the snapshot.
+        observations: Observed state of each listed machine, whether in the plan or not, by name.
+        groups: Group of each listed machine, by name.
+        grants: Grant of each machine in the table, by name; one with a later start is back in service.
+        load: Load of each kind, relative to its serving capacity.
         adjacent: Pairs of upstreams that are the first two choices for a hot object.
     """
 
@@ -84,7 +84,7 @@
 
 
 def is_out_of_service(snapshot: FleetSnapshot, name: str) -> bool:
-    """Return whether a machine was granted and was not seen since with a later start."""
+    """Return whether a machine is granted and has not been observed with a later start."""
     grant = snapshot.grants.get(name)
     observation = snapshot.observations.get(name)
     return grant is not None and (observation is None or observation.started_ms <= grant.started_ms)
@@ -100,6 +100,6 @@
 def adjacent_upstreams(
     hot_objects: Iterable[ObjectT], rank: Callable[[ObjectT], list[str]]
 ) -> frozenset[frozenset[str]]:
-    """Return the first two choices of each hot object, as pairs."""
+    """Return the first two upstreams in each hot object's ranking, as pairs."""
     rankings = [rank(hot_object) for hot_object in hot_objects]
     return frozenset(frozenset(ranking[:2]) for ranking in rankings if len(ranking) > 1)
--- a/tests/maintenance/lease_quorum_model.py
+++ b/tests/maintenance/lease_quorum_model.py
@@ -210,7 +210,7 @@
             front.table.version,
             front.table.committed,
             self._age(front.member.last_contact_at),
-            self._age(front.member.majority_at),
+            self._age(front.member.majority_confirmed_at),
             front.member.silent_until > self.now and front.member.silent_until - self.now,
             table,
             confirmations,
--- a/tests/maintenance/test_plan_file.py
+++ b/tests/maintenance/test_plan_file.py
@@ -43,7 +43,7 @@
         ("asked_ms: 1700000000000 job { front: 1 kind: CACHE }", "is a front"),
         ("asked_ms: 1700000000000 job { place: 'x' kind: FRONT }", "is a place"),
         ("asked_ms: 1700000000000 job { front: 1 takes_ms: 1 }", "takes_ms is 1"),
-        ("asked_ms: 1700000000000 job { front: 1 after: 'y' }", "does not name"),
+        ("asked_ms: 1700000000000 job { front: 1 after: 'y' }", "which no job names"),
         (
             "asked_ms: 1700000000000 job { place: 'a' after: 'b' } job { place: 'b' after: 'a' }",
             "wait for each",
--- a/tests/maintenance/test_plans_under_faults.py
+++ b/tests/maintenance/test_plans_under_faults.py
@@ -162,7 +162,7 @@
     other = submit(simulation, *names[:3], front=4)
     assert one.created_ms == other.created_ms
     simulation.run(90)
-    digests = {front.coordinator.plans.digest for front in simulation.fronts.values()}
+    digests = {front.coordinator.plan_exchange.digest for front in simulation.fronts.values()}
     assert len(digests - {0}) == 1
     assert simulation.done_count(other) >= 3
     assert simulation.worst_out <= 1
