--- a/marbleglade/maintenance/coordinator.py
+++ b/marbleglade/maintenance/coordinator.py
@@ -1,8 +1,8 @@
 """Coordinator of maintenance at one front: the plan in force, the leader, and the machines out of service.
 
-Free of I/O, clocks and randomness: `tick` and `receive` return the messages to send. The caller
-passes in its observation of the machines. It reads from `is_granted` whether this front is out of service,
-and from `granted_starts_ms` which upstreams are.
+Free of I/O, clocks and randomness: `tick` and `receive` return the messages to send. The caller passes in the
+observation of the machines. `is_granted` states whether this front is out of service, and `granted_starts_ms`
+which upstreams are.
 """
 
 from __future__ import annotations
--- a/marbleglade/maintenance/plan_exchange.py
+++ b/marbleglade/maintenance/plan_exchange.py
@@ -127,7 +127,7 @@
             required: Members that need the plan.
             now: The current time.
         """
-        if now - self.round_started_at >= self.lease:  # a restarted member lacks the plan
+        if now - self.round_started_at >= self.lease:  # a member that restarted lacks the plan again
             self.round_started_at = now
             self.offered_to = set()
         receivers = reached & required - self.offered_to
@@ -196,7 +196,7 @@
         return created_ms > self.unix_ms(now) + MAX_CREATED_AHEAD_MS
 
     def _is_acceptable(self, offer: PlanOffer, now: int) -> bool:
-        """Return whether the offered plan is valid so far and not older than the one in transfer."""
+        """Return whether to transfer an offered plan, which must not be older than one in transfer."""
         is_possible = (
             0 < offer.size <= MAX_PLAN_PARTS * PART_BYTES
             and not self._is_too_far_ahead(offer.created_ms, now)
--- a/tests/maintenance/conftest.py
+++ b/tests/maintenance/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of maintenance."""
+"""Fixtures of the maintenance tests."""
 
 import gevent
 import pytest
@@ -13,14 +13,14 @@
 
 @pytest.fixture
 def start_fleet(tmp_path):
-    """Starts a fleet of processes under load; what no front may ever do is checked at its end."""
+    """Starts a fleet of front processes under load; their invariants are checked at its end."""
     with fleets_under_load(tmp_path) as start:
         yield start
 
 
 @pytest.fixture
 def start_maintenance(start_fleet):
-    """Starts five fronts under load, and the workers on whatever is out of service."""
+    """Starts five fronts under load, and workers that maintain the machines that are out of service."""
     started = []
 
     def start():
@@ -35,4 +35,4 @@
         workers.loop.kill()
         # A front that is just starting can't be ended cleanly yet.
         wait_until(lambda workers=workers: not workers.busy, 15, interval=0.05)
-        assert workers.requests_while_out == 0, "requests to a cache that was worked on"
+        assert workers.requests_while_out == 0, "requests were sent to a cache during its maintenance"
--- a/tests/maintenance/lease_quorum_model.py
+++ b/tests/maintenance/lease_quorum_model.py
@@ -1,4 +1,4 @@
-"""A model of the lease quorum for the search of `marbleglade.testing.state_space`."""
+"""Model of the lease quorum for the state search of `marbleglade.testing.state_space`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from marbleglade.maintenance.quorum_messages import QuorumMessage
 
 LEASE = 600  # nanoseconds
-WAIT = int(LEASE * 0.4)  # ends some timeouts, and not others
+WAIT_DURATION = int(LEASE * 0.4)  # of a `Wait`; after one, some timeouts have passed and others have not
 
 
 @dataclass(frozen=True)
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Exchange:
-    """One front sends another what is due, and that one answers; an answer may be late, or lost."""
+    """A front sends another its due messages; an answer arrives at once, or late, or is lost."""
 
     sender: int
     receiver: int
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Revoke:
-    """A front that may be the leader calls a machine back."""
+    """A leader revokes the grant of a machine."""
 
     leader: int
     machine: int
@@ -47,21 +47,21 @@
 
 @dataclass(frozen=True)
 class Restart:
-    """A front forgets all, and starts again."""
+    """A front restarts and loses all its state."""
 
     front: int
 
 
 @dataclass(frozen=True)
 class DeliverLate:
-    """An answer arrives that was late."""
+    """A late answer arrives."""
 
     position: int
 
 
 @dataclass(frozen=True)
 class LateAnswer:
-    """An answer on its way."""
+    """An answer that has not arrived yet."""
 
     sender: int
     receiver: int
@@ -69,12 +69,12 @@
 
 
 class LeaseQuorumModel:
-    """Fronts that take one another out of service, one at a time; machines are named by their numbers.
+    """Fronts that take one another out of service, one at a time; a front's number is its machine key.
 
     Args:
-        moves_left: How many moves may follow.
-        restarts_left: How many of them may be restarts.
-        max_late: Answers that may be on their way at once; the oldest is lost first.
+        moves_left: Number of moves that may follow.
+        restarts_left: Number of restarts among them.
+        max_late: Number of late answers that are kept; beyond it the oldest is lost.
         count: Number of fronts.
     """
 
@@ -98,14 +98,14 @@
         return other
 
     def after(self, moves: Iterable[object]) -> LeaseQuorumModel:
-        """Carry out moves none of which may violate an invariant, and return this model."""
+        """Execute moves, check that none violates an invariant, and return this model."""
         for move in moves:
             self.do(move)
             assert not self.violation()
         return self
 
     def moves(self) -> list[object]:
-        """Return what may happen now."""
+        """Return the moves that are possible now."""
         if self.moves_left <= 0:
             return []
         moves: list[object] = [Wait()]
@@ -128,11 +128,11 @@
         return moves + [DeliverLate(position) for position in range(len(self.late_answers))]
 
     def do(self, move: object) -> None:
-        """Carry out a move."""
+        """Execute a move."""
         self.moves_left -= 1
         match move:
             case Wait():
-                self.now += WAIT
+                self.now += WAIT_DURATION
             case Restart(front):
                 self.restarts_left -= 1
                 self.starts[front] += 1
@@ -149,12 +149,12 @@
         self._remove_returned()
 
     def key(self) -> Hashable:
-        """Return what tells this state from others."""
+        """Return a key that identifies this state."""
         fronts = tuple(self._front_key(front) for front in self.fronts)
         return self.moves_left, fronts, tuple(self.starts), self.restarts_left, len(self.late_answers)
 
     def violation(self) -> str:
-        """Return the invariant that is violated; empty: none."""
+        """Describe the violated invariant; empty if there is none."""
         out = [
             number
             for number, front in enumerate(self.fronts)
@@ -181,7 +181,7 @@
                     self.late_answers = [*self.late_answers, late][-self.max_late :]
 
     def _remove_returned(self) -> None:
-        """Have each leader see the fronts that know that they are called back, or have restarted."""
+        """Have each leader remove the fronts that confirmed their revocation or have restarted."""
         for leader in self.fronts:
             if not leader.member.is_leader:
                 continue
@@ -218,14 +218,14 @@
         )
 
     def _age(self, moment: int | None) -> int:
-        """Return how long ago something was, in fifths of a lease and up to two leases; -1: never."""
+        """Return the age of a time, in fifths of a lease and up to two leases; -1 if it is no time."""
         if moment is None or moment < 0:
             return -1
         return min(self.now - moment, LEASE * 2) * 5 // LEASE
 
 
 def _copy_front(front: LeaseQuorum) -> LeaseQuorum:
-    """Return a copy that shares nothing that changes."""
+    """Return a copy that shares no mutable state."""
     other = copy.copy(front)
     other.table = copy.copy(front.table)
     other.table.grants = {machine: copy.copy(grant) for machine, grant in front.table.grants.items()}
--- a/tests/maintenance/test_lease_quorum.py
+++ b/tests/maintenance/test_lease_quorum.py
@@ -13,11 +13,11 @@
 from tests.harness.units import NS_PER_MS, START_NS
 
 LEASE = 6000 * NS_PER_MS
-RENEWAL = LEASE // 6  # between two messages of a leader
+RENEWAL = LEASE // 6  # interval between two appends of a leader
 
 
 def member(own_number: int, count: int, started_at: int = START_NS - LEASE) -> LeaseQuorum:
-    """Return a member, by default one whose silence after its start is over."""
+    """Return a member, by default one that started a lease ago and so votes."""
     return LeaseQuorum(own_number, count, LEASE, started_at)
 
 
@@ -66,7 +66,7 @@
         leader.receive(number, AppendReply(1, 1, appends[number].stamp, 0), START_NS)
     now = START_NS + RENEWAL
     appends = appends_by_receiver(leader, now)
-    assert appends[1].entries is None  # both have it
+    assert appends[1].entries is None  # both members have this version
     assert appends[2].entries is None
     leader.receive(1, AppendReply(1, 1, appends[1].stamp, 0), now)
     appends = appends_by_receiver(leader, now + RENEWAL)
--- a/tests/maintenance/test_maintenance_processes.py
+++ b/tests/maintenance/test_maintenance_processes.py
@@ -1,4 +1,4 @@
-"""Maintenance plans carried out by processes of the program under load, with faults between them."""
+"""Maintenance plans executed by front processes under load, with faults of network and processes."""
 
 import signal
 import time
@@ -14,7 +14,7 @@
 from tests.maintenance.conftest import LEASE_SECONDS
 
 FRONTS = range(5)
-wait_until = partial(waiting.wait_until, interval=0.05)  # each check reads logs
+wait_until = partial(waiting.wait_until, interval=0.05)  # seconds; each check reads logs
 
 
 def wait_for_draining_front(fleet: FrontFleet, workers: MaintenanceWorkers) -> int:
@@ -34,8 +34,8 @@
     fleet.datagram_proxy.is_cut = lambda _sender, _receiver: False
     wait_until(lambda: len(set(workers.finished)) == 7 and not workers.busy, 60)
     assert workers.worst_out == 1
-    each_once = [*map(str, FRONTS), "box0", "box1"]
-    assert sorted(map(str, workers.finished)) == sorted(each_once)
+    all_machines = [*map(str, FRONTS), "box0", "box1"]
+    assert sorted(map(str, workers.finished)) == sorted(all_machines)
     assert load.results.served_share(submitted_at, time.monotonic()) > 0.97
 
 
@@ -51,7 +51,7 @@
     workers.loop.kill()
     fleet.kill(*killed)
     gevent.sleep(3.0)
-    # Fronts that are down count as out, so no other goes.
+    # Fronts that are down count as out of service, so no other one goes out.
     assert all(workers.stage(number) == "serving" for number in fleet.processes)
     for number in killed:
         fleet.start(number)
@@ -74,7 +74,7 @@
     withdrawn_at = time.monotonic()
     fleet.submit_maintenance_plan(1, plan_text(withdrawn=True))
     wait_until(lambda: workers.stage(3) == "serving", 5)
-    assert time.monotonic() - withdrawn_at < 0.6  # 250 ms, and the proxy, the log and a check of it
+    assert time.monotonic() - withdrawn_at < 0.6  # 250 ms, plus the proxy, the log and a check of the log
     assert client.status().status == "yes"
     fleet.submit_maintenance_plan(4, plan_text([3], deadline_ms=20_000))
     wait_until(lambda: workers.stage(3) == "draining", 10)
@@ -110,7 +110,7 @@
     for number in FRONTS:
         load.mark_up(number)
     workers.worst_out, workers.loop = 0, gevent.spawn(workers.run)
-    # The draining front restarted, so it is completed; the caches follow.
+    # The draining front has restarted, so its maintenance is completed; the caches are next.
     wait_until(lambda: workers.finished, 30)
     assert time.monotonic() - restarted_at > LEASE_SECONDS
     wait_until(lambda: workers.finished in (["box0", "box1"], ["box1", "box0"]), 30)
@@ -119,7 +119,7 @@
 
 def test_a_restarted_front_sends_nothing_to_a_cache_that_is_out_of_service(start_maintenance):
     fleet, load, workers = start_maintenance()
-    workers.loop.kill()  # nobody works on the cache: it stays out
+    workers.loop.kill()  # without workers the cache stays out of service
     fleet.datagram_proxy.loss_rate = 0.3
     fleet.submit_maintenance_plan(2, plan_text([], [0]))
     cache = fleet.caches[0]
--- a/tests/maintenance/test_plan_file.py
+++ b/tests/maintenance/test_plan_file.py
@@ -1,4 +1,4 @@
-"""Reader of maintenance plans: text format, and the bytes that another front sent."""
+"""Reader of maintenance plans: text format, and packed plans from another front."""
 
 import zlib
 
@@ -61,6 +61,6 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"junk", zlib.compress(b"\xff" * 40), zlib.compress(b"x" * 100_000)])
-def test_invalid_bytes_from_another_front_are_no_plan(data):
+def test_invalid_bytes_from_another_front_are_rejected(data):
     with pytest.raises(InvalidConfigurationError):
         unpack_plan(data)
--- a/tests/maintenance/test_plan_in_force.py
+++ b/tests/maintenance/test_plan_in_force.py
@@ -1,13 +1,13 @@
-"""A plan is in force at all fronts in time, though many datagrams are lost.
+"""A grant takes effect at all fronts in time, although many datagrams are lost.
 
-What happens: a front that hears no leader for a third of a lease may call an election that reaches nobody,
-and is then in a later term by itself. It ignores the leader's table from then on, says nothing, and the
-leader, which a majority follows, never learns of that term. The front uses a machine that the others have
-taken out.
+Guards against a front that is alone in a later term. A front without contact to a leader for a third of a
+lease may start an election whose requests are all lost. From then on it ignores the leader's table without an
+answer, so the leader, which has a majority, never learns of the later term. That front then uses a machine
+that is out of service at the others.
 
-What showed it: terms and leaders of each front on simulated time, at 30 in 100 datagrams lost. Seed 594: from
-6.5 to 78 heartbeats front 1 is in term 3 and the others in term 2 of leader 4; seed 1063: front 0 in term 6,
-the others in term 5. 2 of 1,500 seeds take longer than 75 heartbeats.
+On simulated time, with 30 in 100 datagrams lost, 2 of 1,500 seeds take longer than 75 heartbeats. Seed 594:
+from heartbeat 6.5 to 78 front 1 is in term 3, the others are in term 2 of leader 4. Seed 1063: front 0 is in
+term 6, the others are in term 5.
 """
 
 import pytest
@@ -17,7 +17,7 @@
 from marbleglade.maintenance.plan import ConcurrencyLimit, Kind
 
 SETTLE_SECONDS = 15
-IN_FORCE_SECONDS = 75  # heartbeats: 15 s at a heartbeat of 200 ms
+IN_FORCE_SECONDS = 75  # 75 heartbeats, which take 15 s at a heartbeat of 200 ms
 LIMITS = ConcurrencyLimit(1, Kind.FRONT), ConcurrencyLimit(1, Kind.CACHE)
 
 
--- a/tests/maintenance/test_plans_under_faults.py
+++ b/tests/maintenance/test_plans_under_faults.py
@@ -1,4 +1,4 @@
-"""Maintenance plans carried out on simulated time, under faults of the network and of machines."""
+"""Maintenance plans executed on simulated time, under faults of the network and of machines."""
 
 from collections.abc import Callable
 
@@ -9,13 +9,13 @@
 from marbleglade.maintenance.plan import ConcurrencyLimit, Kind, MaintenancePlan, front_name
 
 LIMITS = ConcurrencyLimit(1, Kind.FRONT), ConcurrencyLimit(2, Kind.CACHE)
-SETTLE_SECONDS = 8  # over a lease, in which restarted fronts give no vote
+SETTLE_SECONDS = 8  # longer than a lease, in which restarted fronts give no vote
 
 
 def submit(
     simulation: MaintenanceSimulation, *names: str, limits=LIMITS, front=0, **options
 ) -> MaintenancePlan:
-    """Give a front a plan for these machines."""
+    """Submit a plan for these machines to a front."""
     return simulation.submit_plan(names, limits, front, **{"takes_ms": 20_000, "floor": 0.4} | options)
 
 
@@ -28,7 +28,7 @@
 
 
 def set_cut(simulation: MaintenanceSimulation, is_cut: Callable[[int, int], bool], seconds: int) -> None:
-    """Cut the network in each 40 s from the 21st on, for so many seconds."""
+    """Cut the network for a number of seconds from the 21st second of each 40 s on."""
 
     def is_cut_now(sender: int, receiver: int) -> bool:
         return 20 < simulation.now // NS_PER_S % 40 < 20 + seconds and is_cut(sender, receiver)
@@ -72,7 +72,7 @@
     submit(simulation, *all_fronts(simulation), deadline_ms=30_000)
     simulation.run(4)
     assert len(draining_fronts(simulation)) == 1
-    simulation.network.is_cut = lambda sender, receiver: sender % 2 != receiver % 2  # three and three
+    simulation.network.is_cut = lambda sender, receiver: sender % 2 != receiver % 2  # 3 and 3
     simulation.run(6)
     assert not simulation.out_of_service()
     simulation.run(20)
@@ -95,7 +95,7 @@
     simulation.worst_out = 0
     second_plan = submit(simulation, *machines)
     simulation.run(4)
-    assert len(simulation.taken_out) == taken_out_before  # restarted fronts have forgotten their votes
+    assert len(simulation.taken_out) == taken_out_before  # restarted fronts do not vote yet
     simulation.run(120)
     assert simulation.done_count(second_plan) == 9
     assert simulation.worst_out <= 3
@@ -116,7 +116,7 @@
     assert Kind.FRONT not in leader.decision.halted
     assert all(front.start_ms > plan.created_ms for front in simulation.fronts.values())
     assert len(simulation.fronts) == 5
-    simulation.never_return = set()  # it returns, and the rest goes on
+    simulation.never_return = set()  # the machine returns and the plan goes on
     simulation.run(60)
     assert simulation.done_count(plan) == 9
 
@@ -158,13 +158,13 @@
     simulation.run(4)
     submit(simulation, withdrawn=True, front=2)
     simulation.run(11)
-    one = submit(simulation, *names, front=1)
-    other = submit(simulation, *names[:3], front=4)
-    assert one.created_ms == other.created_ms
+    first_plan = submit(simulation, *names, front=1)
+    second_plan = submit(simulation, *names[:3], front=4)
+    assert first_plan.created_ms == second_plan.created_ms
     simulation.run(90)
     digests = {front.coordinator.plan_exchange.digest for front in simulation.fronts.values()}
     assert len(digests - {0}) == 1
-    assert simulation.done_count(other) >= 3
+    assert simulation.done_count(second_plan) >= 3
     assert simulation.worst_out <= 1
 
 
@@ -191,7 +191,7 @@
     draining = draining_fronts(simulation)
     assert len(draining) == 2
     simulation.kill(next(number for number in simulation.fronts if number not in draining))
-    simulation.run(12)  # three of six would serve: one front is recalled, and no other goes
+    simulation.run(12)  # three of six would serve: one front is recalled, and no other one goes out
     assert len(draining_fronts(simulation)) == 1
     front_keys = {front.coordinator.key for front in simulation.fronts.values()}
     assert all(set(front.coordinator.granted_starts_ms) <= front_keys for front in simulation.fronts.values())
--- a/tests/maintenance/test_schedule.py
+++ b/tests/maintenance/test_schedule.py
@@ -16,9 +16,9 @@
 )
 
 NOW_MS = 2_000_000
-CREATED_MS = NOW_MS - 1000  # of all plans
-MAX_DURATION_MS = 60_000  # of all machines out of service
-STARTED_MS = 1  # of a machine that has not restarted since
+CREATED_MS = NOW_MS - 1000  # creation time of all plans
+MAX_DURATION_MS = 60_000  # longest time out of service of all machines
+STARTED_MS = 1  # process start of a machine that has not restarted since
 CACHES = [f"box{number}" for number in range(6)]
 FRONTS = [f"front {number}" for number in range(4)]
 
@@ -28,7 +28,7 @@
 
 
 def group_of(name: str) -> Group:
-    """Caches stand by turns in the zones a and b, fronts in none."""
+    """Return the group of a machine: caches alternate between zones a and b, fronts have no zone."""
     if name.startswith("front"):
         return Group(Kind.FRONT, "")
     return Group(Kind.CACHE, "ab"[int(name.removeprefix("box")) % 2])
@@ -40,7 +40,7 @@
     load: dict[Kind, float] | None = None,
     adjacent: Iterable[tuple[str, str]] = (),
 ) -> FleetSnapshot:
-    """Return a fleet in which all serve, but for what is given."""
+    """Return a snapshot in which all machines serve, except as the arguments state."""
     names = [*CACHES, *FRONTS]
     return FleetSnapshot(
         NOW_MS,
@@ -67,9 +67,9 @@
 
 @pytest.mark.parametrize(
     "min_serving_share, granted",
-    [(0.3, 4), (0.6, 2)],  # of three in each zone
+    [(0.3, 4), (0.6, 2)],  # of the three caches in each zone
 )
-def test_the_floor_of_each_zone_bounds_how_many_go(min_serving_share, granted):
+def test_the_floor_of_each_zone_bounds_how_many_are_granted(min_serving_share, granted):
     assert len(decide(plan(*CACHES, min_serving_share=min_serving_share), snapshot()).granted) == granted
 
 
@@ -82,7 +82,7 @@
         ([ConcurrencyLimit(1, Kind.FRONT)], 4),
     ],
 )
-def test_each_limit_bounds_how_many_go_of_what_it_applies_to(limits, granted):
+def test_each_limit_bounds_how_many_of_its_machines_are_granted(limits, granted):
     assert len(decide(plan(*CACHES, limits=limits), snapshot()).granted) == granted
 
 
@@ -101,13 +101,13 @@
 
 @pytest.mark.parametrize(
     "load, granted",
-    [(0.5, 2), (0.9, 0)],  # 0.5 * 6 / 4 is 0.75, 0.5 * 6 / 3 is 1.0
+    [(0.5, 2), (0.9, 0)],  # load with two out: 0.5 * 6 / 4 = 0.75; with three out: 0.5 * 6 / 3 = 1.0
 )
-def test_no_more_go_than_the_remaining_capacity_bears(load, granted):
+def test_no_grant_overloads_the_remaining_capacity(load, granted):
     assert len(decide(plan(*CACHES), snapshot(load={Kind.CACHE: load})).granted) == granted
 
 
-def test_upstreams_that_are_adjacent_for_a_hot_object_do_not_go_together():
+def test_upstreams_that_are_adjacent_for_a_hot_object_are_not_granted_together():
     pairs = list(itertools.pairwise(CACHES))
     granted = decide(plan(*CACHES), snapshot(adjacent=pairs)).granted
     assert len(granted) == 2
@@ -115,13 +115,13 @@
 
 
 @pytest.mark.parametrize(
-    "unusable", [plan(*CACHES, withdrawn=True), plan("box9")], ids=["withdrawn", "not listed"]
+    "plan_without_grants", [plan(*CACHES, withdrawn=True), plan("box9")], ids=["withdrawn", "not listed"]
 )
-def test_a_withdrawn_plan_and_a_machine_that_is_not_listed_grant_nothing(unusable):
-    assert decide(unusable, snapshot()).granted == []
+def test_a_withdrawn_plan_and_a_machine_that_is_not_listed_grant_nothing(plan_without_grants):
+    assert decide(plan_without_grants, snapshot()).granted == []
 
 
-def test_the_slowest_machine_goes_first_and_each_waiting_one_has_a_reason():
+def test_the_slowest_machine_is_granted_first_and_each_waiting_one_has_a_reason():
     fleet = snapshot(observations={"box4": NodeObservation(STARTED_MS, slowdown=6.0)})
     decision = decide(plan(*CACHES, limits=[ConcurrencyLimit(1)]), fleet)
     assert decision.granted == ["box4"]
@@ -161,24 +161,24 @@
 
 
 @pytest.mark.parametrize(
-    "in_force, observations, recalled",
+    "plan_in_force, observations, recalled",
     [
         (plan("front 1", "front 2", withdrawn=True), {}, ["front 2", "front 1"]),
-        (plan("front 1"), {}, ["front 2"]),  # a later plan leaves it out
-        (plan("front 1", "front 2", min_serving_share=0.75), {}, ["front 2"]),  # the last to go returns first
+        (plan("front 1"), {}, ["front 2"]),  # front 2 is not in the plan
+        (plan("front 1", "front 2", min_serving_share=0.75), {}, ["front 2"]),  # last granted, first recalled
         (plan("front 1", "front 2", min_serving_share=0.2), {"front 3": FAILED}, []),
         (plan("front 1", "front 2", min_serving_share=0.5), {"front 3": FAILED}, ["front 2"]),
         (plan("front 1", "front 2", min_serving_share=0.75), {"front 2": FAILED}, ["front 1"]),
     ],
 )
 def test_running_fronts_are_recalled_when_the_plan_or_the_capacity_requires_it(
-    in_force, observations, recalled
+    plan_in_force, observations, recalled
 ):
     out = {
         "front 1": GrantedMachine(NOW_MS - 900, STARTED_MS),
         "front 2": GrantedMachine(NOW_MS - 100, STARTED_MS),
     }
-    decision = decide(in_force, snapshot(observations=observations, grants=out))
+    decision = decide(plan_in_force, snapshot(observations=observations, grants=out))
     assert decision.recalled == recalled
     assert not recalled or decision.granted == []
 
@@ -198,7 +198,7 @@
     assert {step.starts_ms for step in result.steps} == {0, 15_000, 30_000}
 
 
-def test_a_forecast_says_why_a_machine_never_goes():
+def test_a_forecast_says_why_a_machine_never_goes_out_of_service():
     result = forecast(
         plan("box0", "box1", min_serving_share=0.9), snapshot(), lambda _machine: 1000, warm_up_ms=0
     )
--- a/tests/maintenance/test_table_query.py
+++ b/tests/maintenance/test_table_query.py
@@ -1,4 +1,4 @@
-"""Queries of a front that has started: which machines are out of service."""
+"""Inquiry of a started front: which machines are out of service."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 LEASE = 6000 * NS_PER_MS
 QUERY_INTERVAL = LEASE // 24
 SECOND = 1000 * NS_PER_MS
-SETTLE_SECONDS = 8  # over a lease, in which fronts that have started give no vote
+SETTLE_SECONDS = 8  # longer than a lease, in which started fronts give no vote
 MAX_WAIT = 4 * SECOND  # so that a restarted front is ready within 6 s
 
 
@@ -22,7 +22,7 @@
     return [query.to for query in inquiry.tick(now, count)]
 
 
-def test_a_started_front_queries_the_voters_until_a_majority_of_them_must_have_been_met():
+def test_a_started_front_queries_voters_until_any_majority_contains_one_that_replied():
     voters = select_voters(20)
     others = set(range(20)) - voters
     inquiry = TableInquiry(min(others), LEASE, START_NS)
@@ -30,7 +30,7 @@
     assert receivers(inquiry, START_NS, 20) == []
     second = receivers(inquiry, START_NS + QUERY_INTERVAL, 20)
     assert len(first) == 5 and len({*first, *second}) == len(voters) == 9 and {*first, *second} == voters
-    inquiry.answered |= others | set(sorted(voters)[:4])  # the five others may be those that have a grant
+    inquiry.answered |= others | set(sorted(voters)[:4])  # a majority of five voters has not replied
     assert not inquiry.is_finished(START_NS, 20)
     inquiry.answered.add(max(voters))
     assert inquiry.outcome(START_NS, 20) is InquiryOutcome.REPLIES
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("count", [2, 3, 5, 20])
-def test_a_front_that_hears_nobody_waits_for_four_seconds_and_then_serves_uninformed(count):
+def test_a_front_without_replies_waits_for_four_seconds_and_then_serves_uninformed(count):
     inquiry = TableInquiry(0, LEASE, START_NS)
     assert not inquiry.is_finished(START_NS + MAX_WAIT - 1, count)
     assert inquiry.outcome(START_NS + MAX_WAIT, count) is InquiryOutcome.TIMEOUT
@@ -55,7 +55,7 @@
     assert not inquiry.outcome(START_NS + MAX_WAIT, count).is_informed
 
 
-def test_a_front_that_gave_up_waiting_goes_on_querying_once_a_second_until_it_is_informed():
+def test_after_its_time_out_a_front_queries_once_a_second_until_it_is_informed():
     inquiry = TableInquiry(0, LEASE, START_NS)
     rounds_at = [
         at
@@ -68,15 +68,15 @@
     assert receivers(inquiry, rounds_at[-1] + 2 * SECOND, 5) == []
 
 
-@pytest.mark.parametrize("heard", [{1, 2, 3, 4}, {1, 2}, {1}])
-def test_fronts_that_all_query_know_that_nobody_has_the_table(heard):
+@pytest.mark.parametrize("querying_members", [{1, 2, 3, 4}, {1, 2}, {1}])
+def test_an_inquiry_is_exhausted_once_all_voters_query_or_later_a_majority(querying_members):
     inquiry = TableInquiry(0, LEASE, START_NS)
-    inquiry.querying |= heard
-    at_once = InquiryOutcome.EXHAUSTED if len(heard) == 4 else InquiryOutcome.WAITING
-    assert inquiry.outcome(START_NS, 5) is at_once
-    # Later a majority of the voters is enough: no leader can have another table without them.
-    late = InquiryOutcome.EXHAUSTED if len(heard) > 1 else InquiryOutcome.TIMEOUT
-    assert inquiry.outcome(START_NS + MAX_WAIT, 5) is late
+    inquiry.querying |= querying_members
+    early_outcome = InquiryOutcome.EXHAUSTED if len(querying_members) == 4 else InquiryOutcome.WAITING
+    assert inquiry.outcome(START_NS, 5) is early_outcome
+    # After the time-out a majority of the voters is enough: no leader can be elected without any of them.
+    late_outcome = InquiryOutcome.EXHAUSTED if len(querying_members) > 1 else InquiryOutcome.TIMEOUT
+    assert inquiry.outcome(START_NS + MAX_WAIT, 5) is late_outcome
 
 
 def test_a_table_reply_marks_upstreams_out_of_service_and_changes_no_quorum_state():
@@ -93,7 +93,7 @@
     assert (quorum.member.term, quorum.table.version, quorum.table.grants) == before
 
 
-def test_a_front_answers_a_query_with_grants_of_a_majority_alone():
+def test_a_front_does_not_pass_on_grants_that_it_has_from_replies_only():
     simulation = MaintenanceSimulation(5, 1, 3)
     coordinator, now = simulation.fronts[2].coordinator, simulation.now
     reply = TableReply((TableEntry(machine_key("box0"), started_ms=500, granted_version=1),))
@@ -103,14 +103,14 @@
 
 
 @pytest.mark.parametrize("waited", [0, MAX_WAIT, 10 * MAX_WAIT])
-def test_a_front_that_knows_nothing_yet_answers_a_query_by_a_query_alone(waited):
+def test_an_uninformed_front_answers_a_query_with_a_query_only(waited):
     simulation = MaintenanceSimulation(5, 1, 3)
     answers = simulation.fronts[0].coordinator.receive(1, TableQuery(), simulation.now + waited)
     assert answers == [Outgoing(1, TableQuery())]
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_fronts_that_restart_together_wait_for_each_other_alone(seed):
+def test_fronts_that_restart_together_are_informed_within_three_seconds(seed):
     simulation = MaintenanceSimulation(5, 1, seed)
     simulation.network.set_faults(loss_rate=0.3, duplication_rate=0.0, delay_ns=(NS_PER_MS, 5 * NS_PER_MS))
     simulation.run(3)
@@ -119,9 +119,10 @@
 
 
 def test_a_restarted_front_learns_of_a_grant_that_members_without_a_vote_lack():
-    """A majority of the voters has each grant; the others learn of it later, or not while they are cut off.
+    """A majority of the voters has each grant; other members learn of it later, not while they are cut off.
 
-    The front that restarts is followed by members without a vote, and the leader can't reach it.
+    The numbers after that of the restarted front belong to members without a vote, and the leader can't reach
+    it.
     """
     simulation = MaintenanceSimulation(40, 2, 4)
     simulation.run(SETTLE_SECONDS)
@@ -147,7 +148,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 20, 60])
-def test_a_whole_fleet_that_restarts_waits_for_a_second_or_two(count):
+def test_a_restarted_fleet_of_any_size_is_informed_within_three_seconds(count):
     simulation = MaintenanceSimulation(count, 1, 5)
     simulation.network.set_faults(loss_rate=0.3, duplication_rate=0.0, delay_ns=(NS_PER_MS, 5 * NS_PER_MS))
     simulation.run(3)
@@ -160,7 +161,7 @@
 
 
 def test_fronts_that_query_each_other_send_one_query_in_an_interval():
-    """An answer to a query by a query must not be answered by a query, and so on."""
+    """Guards against uninformed fronts that answer each query with a query, without end."""
     simulation = MaintenanceSimulation(3, 1, 5)
     first, second, _ = (front.coordinator for front in simulation.fronts.values())
     now = simulation.now
