--- a/tests/maintenance/test_plan_file.py
+++ b/tests/maintenance/test_plan_file.py
@@ -1,4 +1,4 @@
-"""Reader of maintenance plans: text format, and the bytes that another front sent."""
+"""Reader of maintenance plans: text format, and packed plans from another front."""
 
 import zlib
 
@@ -43,7 +43,7 @@
         ("asked_ms: 1700000000000 job { front: 1 kind: CACHE }", "is a front"),
         ("asked_ms: 1700000000000 job { place: 'x' kind: FRONT }", "is a place"),
         ("asked_ms: 1700000000000 job { front: 1 takes_ms: 1 }", "takes_ms is 1"),
-        ("asked_ms: 1700000000000 job { front: 1 after: 'y' }", "does not name"),
+        ("asked_ms: 1700000000000 job { front: 1 after: 'y' }", "which no job names"),
         (
             "asked_ms: 1700000000000 job { place: 'a' after: 'b' } job { place: 'b' after: 'a' }",
             "wait for each",
@@ -61,6 +61,6 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"junk", zlib.compress(b"\xff" * 40), zlib.compress(b"x" * 100_000)])
-def test_invalid_bytes_from_another_front_are_no_plan(data):
+def test_invalid_bytes_from_another_front_are_rejected(data):
     with pytest.raises(InvalidConfigurationError):
         unpack_plan(data)
