--- a/benchmarks/maintenance/simulation.py
+++ b/benchmarks/maintenance/simulation.py
@@ -12,7 +12,7 @@
 from marbleglade.maintenance.messages import MaintenanceMessage
 from marbleglade.maintenance.plan import ConcurrencyLimit, Group, Kind, MaintenancePlan, front_name
 from marbleglade.maintenance.plan_file import build_plan, pack_plan
-from marbleglade.maintenance.snapshot import NodeObservation, Observation, ObservedUpstream
+from marbleglade.maintenance.snapshot import NodeObservation, ObservedUpstream, UpstreamObservations
 from marbleglade.maintenance.work_pb2 import WorkOrder
 from marbleglade.protocols import fleet_datagrams, maintenance_datagrams
 from marbleglade.testing.simulated_datagrams import SimulatedNetwork
@@ -160,9 +160,9 @@
                 self.maintenance_bytes += len(data)
             self.network.send(sender, outgoing.to, data, self.now)
 
-    def observe(self) -> Observation:
+    def observe(self) -> UpstreamObservations:
         """Return what a front observes of the caches."""
-        return Observation(
+        return UpstreamObservations(
             {name: self._observe_cache(cache) for name, cache in self.caches.items()}, self.load
         )
 
--- a/marbleglade/maintenance/adapter.py
+++ b/marbleglade/maintenance/adapter.py
@@ -21,7 +21,7 @@
 from .messages import MaintenanceMessage
 from .plan import Group, Kind
 from .plan_file import DEFAULT_DRAIN_TIMEOUT_MS, read_plan
-from .snapshot import NodeObservation, Observation, ObservedUpstream, adjacent_upstreams
+from .snapshot import NodeObservation, ObservedUpstream, UpstreamObservations, adjacent_upstreams
 from .table_query import InquiryOutcome
 
 LEASE_PROBE_INTERVALS = 6  # duration of a maintenance lease, in probe intervals of the fleet agent
@@ -178,9 +178,9 @@
             self.agent.is_draining_for_maintenance = self.is_draining
             self.log("drain", stage=self.drain.stage.value, open_requests=len(self.driver.open_requests))
 
-    def observe(self) -> Observation:
+    def observe(self) -> UpstreamObservations:
         """Return the state of this front's upstreams, as it observes them."""
-        observation = Observation()
+        observation = UpstreamObservations()
         for upstream, server in self.front.upstreams.by_upstream.items():
             if (kind := KIND_BY_ROLE.get(upstream.role)) is not None:
                 group = Group(kind, self._zone_name(upstream))
--- a/marbleglade/maintenance/coordinator.py
+++ b/marbleglade/maintenance/coordinator.py
@@ -22,7 +22,7 @@
 from .plan_exchange import REQUEST_INTERVAL_SHARE, PlanExchange
 from .quorum_messages import Append, AppendReply, QuorumMessage, TableEntry, Vote, VoteRequest
 from .schedule import ScheduleDecision, decide
-from .snapshot import FleetSnapshot, GrantedMachine, NodeObservation, Observation
+from .snapshot import FleetSnapshot, GrantedMachine, NodeObservation, UpstreamObservations
 from .table_query import InquiryOutcome, TableInquiry, TableQuery, TableReply
 
 MAINTENANCE_TASK = b"work"
@@ -89,7 +89,9 @@
             self.preferred = preferred_holder(MAINTENANCE_TASK, in_service or voters)
         return self.preferred
 
-    def tick(self, now: int, observe: Callable[[], Observation]) -> list[Outgoing[MaintenanceMessage]]:
+    def tick(
+        self, now: int, observe: Callable[[], UpstreamObservations]
+    ) -> list[Outgoing[MaintenanceMessage]]:
         """Run the timers and return the messages that are due; calls `observe` only as the leader."""
         member = self.quorum.member
         if len(self.membership.members) != member.member_count:
@@ -118,7 +120,7 @@
         self._record_grants()
         return outgoing
 
-    def snapshot(self, now: int, observation: Observation) -> FleetSnapshot:
+    def snapshot(self, now: int, observation: UpstreamObservations) -> FleetSnapshot:
         """Return the state of all listed machines, with all grants of the table, committed or not."""
         unix_ms = self.plan_exchange.unix_ms(now)
         observations: dict[str, NodeObservation] = {}
@@ -240,7 +242,7 @@
             return self.plan_exchange.offer_to_leader(leader, now)
         return []
 
-    def _apply_schedule(self, now: int, observation: Observation) -> None:
+    def _apply_schedule(self, now: int, observation: UpstreamObservations) -> None:
         """As the leader, update the table: remove machines that returned, then revoke and grant."""
         leader, table = self.quorum.leader_role, self.quorum.table
         snapshot = self.snapshot(now, observation)
--- a/marbleglade/maintenance/snapshot.py
+++ b/marbleglade/maintenance/snapshot.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Observation:
+class UpstreamObservations:
     """State of the upstreams, as one front observes them.
 
     Attributes:
