--- a/marbleglade/gateway/__init__.py
+++ b/marbleglade/gateway/__init__.py
@@ -1,11 +1,14 @@
-"""Forwards requests between regions, over links that may break; `docs/architecture.md` follows one request.
+"""Forwards requests between regions over links that may fail; `docs/architecture.md` follows one request.
 
-- Process: `gateway_process` runs what `wiring` and `region_wiring` create; `status` reports it.
-- Routing: `region_router` asks one region after the other, in the order of `routes`; `remote_region` is the
-  request handler of another region, `region_events` passes purges and endpoint changes to all handlers.
-- Requesting side: `requester` forwards a request over a `link`, within `concurrency_limit`; `partial_bodies`
-  keeps what a disconnection cut off.
-- Responding side: `responder` accepts links, `forwarded_requests` runs what comes over them, once each, and
-  `request_journal` has the status of each.
-- Both: `purge_log`, `clock_offset`, and the package `link` with frames, flow control and recovery.
+- Process: `gateway_process` runs the components that `wiring` and `region_wiring` create; `status` reports
+  their state.
+- Routing: `region_router` tries one region after another, in the order that `routes` determines;
+  `routed_request` is the state of this. `remote_region` is the request handler of another region, and
+  `region_events` passes purges and endpoint changes to all handlers.
+- Requesting side: `requester` forwards requests over links, within `concurrency_limit`; `partial_bodies`
+  stores the part of a response that was received before a disconnection.
+- Responding side: `responder` accepts connections, each with the state in `peer_connection`.
+  `forwarded_requests` runs each request that they carry at most once, and `request_journal` records the
+  status of each.
+- Both sides: `purge_log`, `clock_offset`, and the package `link` with frames, flow control and recovery.
 """
--- a/marbleglade/gateway/clock_offset.py
+++ b/marbleglade/gateway/clock_offset.py
@@ -1,37 +1,37 @@
-"""The offset of another region's clock, with its error bounds, from exchanges on the link."""
+"""Estimates the clock offset of a remote gateway, with error bounds, from exchanges on the link."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-PPM = 1_000_000  # parts in a million
+PPM = 1_000_000  # parts per million
 
 
 class TimeBounds(NamedTuple):
-    """When something happened by one clock, as far as that is known, ns."""
+    """The earliest and the latest possible time of an event by one clock, ns."""
 
     earliest: int
     latest: int
 
 
 class ClockOffset:
-    """Bounds the time that the other clock shows minus the time that this one shows, in ns.
+    """Bounds the clock offset: the remote clock's time minus the local clock's time, in ns.
 
-    A message is sent at t1 by this clock, received at t2 by the other one, answered at t3 by the other one,
-    and the answer is received at t4 by this clock. No message is received before it was sent, so
-    t3 - t4 <= offset <= t2 - t1, however much the two directions differ. The bounds of earlier exchanges
-    widen by the drift and are intersected with new ones. If they contradict each other a clock was set, and
-    the new ones count alone.
+    In one exchange a message is sent at t1 (local clock) and received at t2 (remote clock); the reply is sent
+    at t3 (remote clock) and received at t4 (local clock). No message is received before it was sent, so
+    t3 - t4 <= offset <= t2 - t1, even if the two directions take different times. The bounds of earlier
+    exchanges are widened by the drift and intersected with the new bounds. If the intersection is empty, one
+    of the clocks was set, and only the new bounds are used.
 
     Args:
-        drift_ppm: The most by which one clock drifts, parts in a million.
+        drift_ppm: The maximum drift of one clock, parts per million.
 
     Attributes:
-        low: The least offset at `measured_at`, ns.
-        high: The greatest offset at `measured_at`, ns.
-        measured_at: When the last exchange ended, by this clock.
-        is_known: There was an exchange.
-        clock_jumps: How often a clock was set.
+        low: The least possible offset at `measured_at`, ns.
+        high: The greatest possible offset at `measured_at`, ns.
+        measured_at: The local time at which the last exchange ended, ns.
+        is_known: True once an exchange was used.
+        clock_jumps: The number of times that a clock was found to have been set.
     """
 
     def __init__(self, drift_ppm: float) -> None:
@@ -43,13 +43,13 @@
         self.clock_jumps = 0
 
     def add_exchange(self, sent_at: int, peer_received_at: int, peer_sent_at: int, received_at: int) -> bool:
-        """Use one exchange; return False if it contradicts itself.
+        """Update the bounds with one exchange; return False if its times are impossible.
 
         Args:
-            sent_at: t1, by this clock, ns.
-            peer_received_at: t2, by the other clock.
-            peer_sent_at: t3, by the other clock.
-            received_at: t4, by this clock.
+            sent_at: t1, the local time at which the message was sent, ns.
+            peer_received_at: t2, the remote time at which it was received, ns.
+            peer_sent_at: t3, the remote time at which the reply was sent, ns.
+            received_at: t4, the local time at which the reply was received, ns.
         """
         low = peer_sent_at - received_at
         high = peer_received_at - sent_at
@@ -69,16 +69,16 @@
         return True
 
     def bounds(self, now: int) -> tuple[int, int]:
-        """Return the least and the greatest offset at `now`, ns; both clocks drift."""
+        """Return the least and the greatest possible offset at `now`, ns, as both clocks drift."""
         drift = int(2 * self.drift_ratio * max(0, now - self.measured_at))
         return self.low - drift, self.high + drift
 
     def to_local(self, peer_time: int, now: int) -> TimeBounds:
-        """Return the time of this clock when the other one showed `peer_time`; all in ns."""
+        """Return bounds on the local time at which the remote clock showed `peer_time`; all in ns."""
         low, high = self.bounds(now)
         return TimeBounds(peer_time - high, peer_time - low)
 
     def to_remote(self, local_time: int, now: int) -> TimeBounds:
-        """Return the time of the other clock when this one showed `local_time`; all in ns."""
+        """Return bounds on the remote time at which the local clock showed `local_time`; all in ns."""
         low, high = self.bounds(now)
         return TimeBounds(local_time + low, local_time + high)
--- a/marbleglade/gateway/concurrency_limit.py
+++ b/marbleglade/gateway/concurrency_limit.py
@@ -1,8 +1,8 @@
-"""Adaptive bound on the requests that this gateway has in flight at one region.
+"""Adaptive limit on the number of requests that this gateway has in flight to one region.
 
-Nothing queues here: a request over the bound is rejected at once, and the policy decides what follows. After
-a region could not be reached the bound is low and grows with each response, so that the requests that waited
-do not overload it.
+Requests are not queued: a request above the limit is rejected immediately, and the policy decides what
+follows. When a region becomes reachable again, the limit starts low and grows with each response, so that
+the accumulated requests do not overload the region.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 
 
 class ConcurrencyLimit:
-    """Grows with responses (slow start, then linearly) and shrinks with rejections and timeouts.
+    """Raises its limit with each response (slow start, then linearly), lowers it on rejections and timeouts.
 
     Args:
-        max_limit: The greatest bound.
-        initial_limit: The bound after the region could not be reached, also the least one.
-        decrease_interval_ns: The least time between two decreases.
+        max_limit: The highest limit.
+        initial_limit: The limit when the region becomes reachable again; also the lowest limit.
+        decrease_interval_ns: The minimum time between two decreases, ns.
 
     Attributes:
-        limit: The bound at present.
-        in_flight: Requests in flight.
-        decreased_at: When the bound was last decreased or restarted, ns.
+        limit: The current limit.
+        in_flight: The number of requests in flight.
+        decreased_at: The time at which the limit was last decreased or reset, ns.
     """
 
     def __init__(self, max_limit: int, initial_limit: int, decrease_interval_ns: int) -> None:
@@ -33,21 +33,22 @@
         self.decreased_at = 0
 
     def restart(self, now: int) -> None:
-        """Begin anew at `now`, ns: the region can be reached again."""
+        """Reset the limit to its initial value, since the region became reachable again at `now`, ns."""
         self.limit = float(min(self.initial_limit, self.max_limit))
         self.decreased_at = now
 
     def try_acquire(self) -> bool:
-        """Count a request in flight; return False, and do not, if the bound is reached."""
+        """Count one more request in flight; return False without counting it if the limit is reached."""
         if self.in_flight >= int(self.limit):
             return False
         self.in_flight += 1
         return True
 
     def release_served(self) -> None:
-        """Count a request that was served, and raise the bound.
+        """Release a request that was served, and raise the limit.
 
-        Below half of the greatest bound it grows by one for each response, so it doubles in the time of one.
+        Below half of `max_limit` each response raises the limit by one, so the limit doubles in the time that
+        one response takes.
         """
         self.in_flight -= 1
         slow_start = self.limit < self.max_limit / 2
@@ -55,11 +56,11 @@
         self.limit = min(float(self.max_limit), self.limit + increase)
 
     def release_failed(self, overloaded: bool, now: int) -> None:
-        """Count a request that was not served.
+        """Release a request that was not served.
 
         Args:
-            overloaded: It was rejected or timed out, so the bound is lowered.
-            now: The present moment, ns.
+            overloaded: True if the request was rejected or timed out, so that the limit is lowered.
+            now: The current time, ns.
         """
         self.in_flight -= 1
         if overloaded and now - self.decreased_at >= self.decrease_interval_ns:
--- a/marbleglade/gateway/forwarded_requests.py
+++ b/marbleglade/gateway/forwarded_requests.py
@@ -1,4 +1,4 @@
-"""Runs the requests that gateways of other regions forward, once each, and sends their responses."""
+"""Runs each request that a gateway of another region forwards at most once, and sends its response."""
 
 from __future__ import annotations
 
@@ -34,38 +34,38 @@
 from .request_journal import (
     ForwardedWork,
     JournalEntry,
+    ObjectPart,
     PeerSession,
     RequestJournal,
     RequestStatus,
-    StoredObject,
 )
 
-ENTRY_LIFETIME_FACTOR = 2  # an entry expires after this many times the time for which its requester waits
+ENTRY_LIFETIME_FACTOR = 2  # a journal entry expires after this many times the request's timeout
 
 
 class ForwardedRequests:
-    """Accepts forwarded requests from connections, has the router serve them, and keeps the journal.
+    """Admits forwarded requests, runs them in the router, and records their status in the journal.
 
     Args:
-        router: Serves them.
-        journal: The status of each.
-        peer_of: Returns the connection of a gateway that responses of a session are sent on; None if it is
-            not connected.
-        is_draining: Returns whether this gateway accepts no more requests.
-        guard: Has the counters; records exceptions.
+        router: Serves the requests.
+        journal: Records the status of each request.
+        connected_peer: Returns the connection on which responses of a session are sent; None if the
+            session's gateway is not connected.
+        is_draining: Returns whether this gateway rejects all new forwarded requests.
+        guard: Records exceptions, and gives access to the counters.
     """
 
     def __init__(
         self,
         router: RegionRouter,
         journal: RequestJournal,
-        peer_of: Callable[[PeerSession], PeerConnection | None],
+        connected_peer: Callable[[PeerSession], PeerConnection | None],
         is_draining: Callable[[], bool],
         guard: ErrorGuard,
     ) -> None:
         self._router = router
         self.journal = journal
-        self._peer_of = peer_of
+        self._connected_peer = connected_peer
         self._is_draining = is_draining
         self._guard = guard
         self._counters = guard.counters
@@ -73,20 +73,24 @@
     # Admission.
 
     def on_request(self, peer: PeerConnection, message: RequestMessage) -> None:
-        """Accept a request, or reject it; its body may not have been received yet."""
+        """Admit or reject a request; one with a body starts once its last chunk is received."""
         self._counters.add("forwarded.received")
         if message.passed[-1] != peer.region:
-            raise InvalidLinkFrameError("a request that another region forwarded")
+            raise InvalidLinkFrameError(
+                f"request {message.number}: forwarded by {message.passed[-1]}, expected {peer.region}"
+            )
         if not self._may_admit(message):
             self._reject(peer, message)
             return
         lifetime = ENTRY_LIFETIME_FACTOR * message.within_ms * MILLISECOND_NS
         entry = self.journal.open_entry(peer.session, message.number, clock.now() + lifetime)
         if entry is None:
-            raise InvalidLinkFrameError("a request number that was used before")
+            raise InvalidLinkFrameError(
+                f"request number {message.number}: expected a number above {peer.session.last_number}"
+            )
         entry.work = ForwardedWork(
             message.had if message.HasField("had") else None,
-            StoredObject(message.thing, message.part),
+            ObjectPart(message.thing, message.part),
             arrival_time(peer.connection.earliest_arrival, clock.now()),
         )
         if not message.body:
@@ -107,20 +111,24 @@
 
     def _reject(self, peer: PeerConnection, message: RequestMessage) -> None:
         if not self.journal.consume_number(peer.session, message.number):
-            raise InvalidLinkFrameError("a request number that was used before")
+            raise InvalidLinkFrameError(
+                f"request number {message.number}: expected a number above {peer.session.last_number}"
+            )
         self._counters.add("forwarded.rejected_at_admission")
         known_class = message.profile in self._router.request_classes
         outcome = RequestOutcome.REJECTED if known_class else RequestOutcome.FAILED
         peer.connection.send(response_head(message.number, Response(outcome)))
 
     def on_chunk(self, peer: PeerConnection, message: BodyChunk) -> None:
-        """Add a part of a request's body, and run the request once the body is complete."""
+        """Append a chunk to a request's body, and start the request once the body is complete."""
         peer.connection.grant_credit_for(len(message.data), True)
         incoming = peer.incoming.get(message.number)
         if incoming is None:
             if message.number > peer.session.last_number:
-                raise InvalidLinkFrameError("a chunk of no request")
-            return  # it was cancelled or rejected meanwhile
+                raise InvalidLinkFrameError(
+                    f"body chunk of request {message.number}, which was never received"
+                )
+            return  # the request was cancelled or rejected while its body was sent
         incoming.receiver.add_chunk(message.at, message.data)
         if not incoming.receiver.complete:
             return
@@ -130,7 +138,7 @@
             self._start(peer.session, entry, entry.work, incoming.message, incoming.receiver.data())
 
     def drop_incomplete(self, peer: PeerConnection) -> None:
-        """Remove the requests whose body can't be completed any more: they did not run, and will not."""
+        """Remove the requests of a closed connection whose body is incomplete; none of them has started."""
         while peer.incoming:
             number, _ = peer.incoming.popitem()
             self.journal.remove(peer.session, number)
@@ -163,8 +171,8 @@
     def _reusable_response(
         self, message: RequestMessage, part: ReceivedPart, request: ClientRequest
     ) -> Response | None:
-        """Return a stored response with the object whose part the requester has, if it may be served."""
-        response = self.journal.stored_response(StoredObject(message.thing, message.part))
+        """Return the stored response that the requester's partial body belongs to, if it may be reused."""
+        response = self.journal.stored_response(ObjectPart(message.thing, message.part))
         if response is None or (response.entity_tag, response.issued_ms) != (part.tag, part.issued_ms):
             return None
         purged_at = self._router.local_handler.purge_history.latest(message.thing, message.group)
@@ -178,33 +186,33 @@
         return response if may_reuse else None
 
     def cancel(self, entry: JournalEntry) -> None:
-        """End the work for an entry that was removed."""
+        """Cancel the request of a removed journal entry if it has started."""
         if entry.work and entry.work.routed_request:
             self._guard.call(
                 "client_disconnected", self._router.client_disconnected, entry.work.routed_request
             )
 
     def expire(self) -> None:
-        """Remove the entries whose requesters wait no longer, and end the work for them."""
+        """Remove the expired journal entries and cancel their requests."""
         for entry in self.journal.expire(clock.now()):
             self.cancel(entry)
 
     # Responses.
 
     def _store_and_send(self, session: PeerSession, entry: JournalEntry, response: Response) -> None:
-        """Store a response, and send it if its requester is connected; otherwise that queries the status."""
+        """Store a response, and send it now, or after a status query if the requester is disconnected."""
         work = entry.work
         if work is None or session.entries.get(entry.number) is not entry:
             return
-        stored_object = work.stored_object if response.body else None
-        self.journal.store_response(session, entry, response, len(response.body), stored_object)
-        if peer := self._peer_of(session):
+        object_part = work.object_part if response.body else None
+        self.journal.store_response(session, entry, response, len(response.body), object_part)
+        if peer := self._connected_peer(session):
             self._send_response(peer, entry.number, response, work.partial_body)
 
     def _send_response(
         self, peer: PeerConnection, number: int, response: Response, part: ReceivedPart | None
     ) -> None:
-        """Send a response, without the part of its body that the requester has."""
+        """Send a response; skip the first bytes of its body if the requester already has them."""
         self._counters.add(f"forwarded.{response.outcome.name.lower()}")
         has_body = response.outcome is RequestOutcome.SERVED and not response.not_modified
         offset = recovery.resume_offset(part, response) if has_body and part else 0
@@ -214,7 +222,7 @@
             peer.connection.send_body(number, response.body, offset)
 
     def on_cancel(self, peer: PeerConnection, message: CancelMessage) -> None:
-        """Remove a request that its requester has the response to, or does not want any more."""
+        """Remove a request whose requester acknowledges the response or cancels the request."""
         peer.connection.send_queue.remove_body(message.number)
         peer.incoming.pop(message.number, None)
         if entry := self.journal.remove(peer.session, message.number):
@@ -222,7 +230,7 @@
             self.cancel(entry)
 
     def on_status_query(self, peer: PeerConnection, message: StatusQuery) -> None:
-        """Reply with the status of a request, and send its response again if there is one."""
+        """Reply with the status of a request, and resend its response if it is stored."""
         status, entry = self.journal.status_of(peer.session, message.number)
         self._counters.add(f"forwarded.status_{status.name.lower()}")
         peer.connection.send(status_reply(message.number, status))
--- a/marbleglade/gateway/gateway_process.py
+++ b/marbleglade/gateway/gateway_process.py
@@ -1,4 +1,4 @@
-"""The process of one gateway: opens its listeners, runs its components, and shuts down gracefully."""
+"""Runs one gateway: opens its listeners, runs its components, and shuts it down gracefully."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 from .status import gateway_status
 from .wiring import GatewayComponents
 
-BACKLOG = 1024  # connections that wait to be accepted
+LISTEN_BACKLOG = 1024  # connections that may wait to be accepted, per listener
 HEARTBEATS_PER_SWEEP = 4
 SHUTDOWN_CHECKS_PER_HEARTBEAT = 4
-LAST_WRITE_DIVISOR = 8  # at the end, this part of the silence timeout is left for writing responses
+FINAL_FLUSH_DIVISOR = 8  # the last responses are written within the silence timeout divided by this
 
 
 class Gateway:
     """One running gateway.
 
     Args:
-        deployment: The deployment, and which gateway of it this is.
-        debug: Log debug events.
-        sink: The descriptor that the log is written to; None: standard error.
+        deployment: The deployment, and the gateway in it that is run.
+        debug: Whether debug events are logged.
+        sink: The file descriptor that the log is written to; None for standard error.
 
     Attributes:
-        components: The components.
+        components: The gateway's components.
     """
 
     def __init__(self, deployment: LocalDeployment, debug: bool = False, sink: int | None = None) -> None:
@@ -51,7 +51,7 @@
     # Start.
 
     def start(self) -> None:
-        """Open the listeners and start all greenlets."""
+        """Open the listeners and start the greenlets of all components."""
         components = self.components
         components.loop_monitor.start()
         gateway = self._deployment.gateway
@@ -75,24 +75,24 @@
         self._greenlets = [gevent.spawn(task) for task in tasks]
 
     def _listen(self, listen_address: str) -> socket.socket:
-        listener = open_listener(parse_address(listen_address), BACKLOG, self.components.log)
+        listener = open_listener(parse_address(listen_address), LISTEN_BACKLOG, self.components.log)
         self._listeners.append(listener)
         return listener
 
     # Periodic work.
 
     def _run_policy_timers(self, handler: RequestHandler) -> None:
-        """Run the timers of one region's policy."""
+        """Run the timers of one region's policy when they are due."""
         resolution = handler.clock_resolution
         while True:
             next_timer = self._guard.call("policy_timers", handler.driver.run_timers)
             wakeup_at = next_timer if isinstance(next_timer, int) and next_timer else clock.now() + resolution
             gevent.sleep(max(0, wakeup_at - clock.now()) / SECOND_NS)
             if clock.now() - wakeup_at > resolution:
-                read_arrived()  # before the timers that are due now
+                read_arrived()  # late wakeup: read what has arrived before the due timers run
 
     def _run_periodic_work(self) -> None:
-        """Send heartbeats and run the periodic checks."""
+        """Send heartbeats, check the links, and remove expired state periodically."""
         components = self.components
         sweeps = (
             components.responder.requests.expire,
@@ -115,7 +115,7 @@
     # Shutdown.
 
     def drain(self) -> None:
-        """Begin the graceful shutdown: accept no more requests, and notify the other regions."""
+        """Begin the graceful shutdown: accept no more requests, and notify the gateways of other regions."""
         components = self.components
         if components.shutdown.requested_at:
             return
@@ -127,23 +127,23 @@
             requester.announce_drain()
 
     def wait_until_drained(self) -> None:
-        """Block until all requests are answered or given up and the process may exit."""
+        """Block until all requests have been answered or ended by force and the process may exit."""
         components = self.components
         shutdown = components.shutdown
         clients = components.client_listener.connections
         while not shutdown.may_exit(clock.now(), len(components.router) or clients.has_pending_responses):
             if shutdown.must_give_up(clock.now(), components.loop_monitor.recent_delay()):
-                self._give_up_all()
+                self._end_open_requests()
             gevent.sleep(components.heartbeat_interval_ns / SHUTDOWN_CHECKS_PER_HEARTBEAT / SECOND_NS)
         components.responder.close_gracefully()
-        gevent.sleep(components.silence_timeout_ns / LAST_WRITE_DIVISOR / SECOND_NS)
+        gevent.sleep(components.silence_timeout_ns / FINAL_FLUSH_DIVISOR / SECOND_NS)
 
-    def _give_up_all(self) -> None:
+    def _end_open_requests(self) -> None:
         for handler in self.components.router.handlers.values():
             self._guard.call("give_up_all", handler.driver.give_up_all)
 
     def close(self) -> None:
-        """End everything at once; for a gateway that shares its process with others."""
+        """Stop immediately and close all sockets; used when several gateways share one process."""
         components = self.components
         components.loop_monitor.stop()
         gevent.killall(self._greenlets)
@@ -172,7 +172,7 @@
         signal.SIGINT: gateway.drain,
     }
     process_signals.handle(handlers, lambda name: components.log.info("signal_ignored", signal=name))
-    gc.freeze()  # objects of the start live on; the collector skips them from now on
+    gc.freeze()  # startup objects live as long as the process, so garbage collections skip them
     components.log.info(
         "ready",
         region=components.region,
--- a/marbleglade/gateway/partial_bodies.py
+++ b/marbleglade/gateway/partial_bodies.py
@@ -1,4 +1,4 @@
-"""The first bytes of bodies whose connection broke, kept while their client may still ask for the rest."""
+"""Stores the first bytes of bodies after a disconnection, so that a retry requests only the rest."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     """The first bytes of one object's body.
 
     Attributes:
-        tag: The object's tag.
-        issued_ms: When the object was issued, Unix milliseconds of the region that sent it.
-        data: The bytes.
-        expires_at: Until when they are kept, ns.
+        tag: The tag of the object's version.
+        issued_ms: The time at which the object was issued, Unix milliseconds by the sending region's clock.
+        data: The first bytes of the body.
+        expires_at: The time after which the bytes are removed, ns.
     """
 
     tag: str
@@ -25,14 +25,14 @@
 
 
 class PartialBodies:
-    """Partial bodies by object, bounded by their bytes; the oldest is removed first.
+    """The partial bodies by object part, bounded in size; the oldest is removed first.
 
     Args:
-        max_bytes: The bound.
+        max_bytes: The maximum size of all stored bodies, bytes.
 
     Attributes:
-        bodies: The bodies, oldest first.
-        stored_bytes: Their bytes.
+        bodies: The partial bodies by key, oldest first.
+        stored_bytes: The size of all stored bodies, bytes.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -41,7 +41,7 @@
         self.bodies: OrderedDict[Hashable, PartialBody] = OrderedDict()
 
     def put(self, key: Hashable, body: PartialBody) -> None:
-        """Store a body, unless it is too large or as much of the same object is stored already."""
+        """Store a body unless it is empty, too large, or no longer than one stored for the same version."""
         if not body.data or len(body.data) > self.max_bytes:
             return
         stored = self.bodies.get(key)
@@ -55,15 +55,15 @@
             self.remove(next(iter(self.bodies)))
 
     def get(self, key: Hashable) -> PartialBody | None:
-        """Return the body stored for an object's part, if there is one."""
+        """Return the partial body of an object part, if one is stored."""
         return self.bodies.get(key)
 
     def remove(self, key: Hashable) -> None:
-        """Remove the body stored for an object's part, if there is one."""
+        """Remove the partial body of an object part, if one is stored."""
         if body := self.bodies.pop(key, None):
             self.stored_bytes -= len(body.data)
 
     def expire(self, now: int) -> None:
-        """Remove what nobody asks for any more at `now`, ns."""
+        """Remove the bodies that expired before `now`, ns."""
         for key in [key for key, body in self.bodies.items() if body.expires_at < now]:
             self.remove(key)
--- a/marbleglade/gateway/peer_connection.py
+++ b/marbleglade/gateway/peer_connection.py
@@ -1,4 +1,4 @@
-"""One connection from another region's gateway, as the responding side sees it."""
+"""The responding side's state of one connection from a gateway of another region."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclass(slots=True, eq=False)
 class IncomingRequest:
-    """A forwarded request whose body is still coming.
+    """A forwarded request whose body has not been received completely.
 
     Attributes:
-        message: The request.
-        receiver: Receives its body.
+        message: The message that announced the request.
+        receiver: Collects the chunks of the request's body.
     """
 
     message: RequestMessage
@@ -25,14 +25,14 @@
 
 
 class PeerConnection:
-    """One connection from another region's gateway.
+    """A connection from a gateway of another region, with its session and its incomplete requests.
 
     Args:
-        connection: The connection.
+        connection: The connection that messages are read from and sent on.
 
     Attributes:
-        region: The gateway's region, once its hello was accepted.
-        incoming: Requests whose body is still coming, by their number.
+        region: The remote gateway's region; empty until its hello is accepted.
+        incoming: The requests whose body is incomplete, by request number.
     """
 
     def __init__(self, connection: LinkConnection) -> None:
@@ -43,21 +43,21 @@
 
     @property
     def has_session(self) -> bool:
-        """True once the gateway was accepted."""
+        """True once the hello of the remote gateway has been accepted."""
         return self._session is not None
 
     @property
     def session(self) -> PeerSession:
-        """The gateway's session.
+        """The session of the remote gateway.
 
         Raises:
-            InvalidLinkFrameError: It was not accepted yet.
+            InvalidLinkFrameError: No hello has been accepted on this connection.
         """
         if self._session is None:
-            raise InvalidLinkFrameError("a message before the hello")
+            raise InvalidLinkFrameError("received another message before an accepted hello")
         return self._session
 
-    def accepted(self, session: PeerSession, region: str) -> None:
-        """Use the session of a gateway of this region."""
+    def attach_session(self, session: PeerSession, region: str) -> None:
+        """Attach the session of the remote gateway, and record the gateway's region."""
         self._session = session
         self.region = region
--- a/marbleglade/gateway/purge_log.py
+++ b/marbleglade/gateway/purge_log.py
@@ -1,6 +1,6 @@
-"""Purges between regions: those that one side sends, and those that the other side knows or may have missed.
+"""Records the purges that are exchanged between regions, and detects which ones may have been missed.
 
-A purge has a number within one incarnation of the gateway that sends it; its time is that of its region.
+A purge has an index within one incarnation of the sending gateway. Its time is by the clock of its region.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
     """A purge of an object or of a group.
 
     Attributes:
-        index: Its number, rising within one incarnation of the gateway that sends it.
-        object_id: The object; 0: the whole group.
-        group: The group.
-        purged_at_ms: When, Unix milliseconds of the region that purged it.
+        index: The purge's number, which increases within one incarnation of the sending gateway.
+        object_id: The id of the purged object; 0 if the whole group is purged.
+        group: The object's group, or the group that is purged.
+        purged_at_ms: The time of the purge, Unix milliseconds by the clock of its region.
     """
 
     index: int
@@ -31,22 +31,22 @@
 
 
 class RecordedPurge(NamedTuple):
-    """A purge and when this gateway recorded it, Unix milliseconds."""
+    """A purge, and the time at which this gateway recorded it, Unix milliseconds."""
 
     recorded_at_ms: int
     purge: RegionPurge
 
 
 class PurgeSender:
-    """The purges that a gateway learned from its discovery, for other regions.
+    """Records the recent purges of this gateway's region, so that they can be sent to other regions.
 
     Args:
-        recorded_since_ms: Since when all are recorded, Unix milliseconds.
-        retention_ms: For how long they are kept.
-        max_records: How many are kept.
+        recorded_since_ms: The time since which every purge is recorded, Unix milliseconds.
+        retention_ms: The time for which a purge is stored, ms.
+        max_records: The maximum number of stored purges.
 
     Attributes:
-        index: The number of the last one.
+        index: The index of the latest purge; 0 before the first one.
     """
 
     def __init__(self, recorded_since_ms: int, retention_ms: int, max_records: int) -> None:
@@ -57,41 +57,42 @@
         self._records: deque[RecordedPurge] = deque()
 
     def add(self, object_id: int, group: int, purged_at_ms: int, now_ms: int) -> RegionPurge:
-        """Record a purge at `now_ms`, remove old ones, and return it with its number."""
+        """Record a purge at `now_ms`, remove obsolete records, and return the purge with its index."""
         self.index += 1
         purge = RegionPurge(self.index, object_id, group, purged_at_ms)
         self._records.append(RecordedPurge(now_ms, purge))
-        while self._records and self._first_is_obsolete(now_ms):
+        while self._records and self._oldest_is_obsolete(now_ms):
             removed = self._records.popleft()
             self.recorded_since_ms = max(self.recorded_since_ms, removed.recorded_at_ms)
         return purge
 
-    def _first_is_obsolete(self, now_ms: int) -> bool:
+    def _oldest_is_obsolete(self, now_ms: int) -> bool:
         age_ms = now_ms - self._records[0].recorded_at_ms
         return len(self._records) > self.max_records or age_ms > self.retention_ms
 
     def after(self, index: int) -> Iterator[RegionPurge]:
-        """Return the recorded purges with a number above `index`, of this incarnation; 0: all."""
+        """Return the recorded purges of this incarnation with an index above `index`; for 0 all of them."""
         return (record.purge for record in self._records if record.purge.index > index)
 
     def complete_since_ms(self, index: int) -> int:
-        """Return since when a receiver of all up to `index` misses no purge, Unix milliseconds; 0: always."""
+        """Return since when a receiver with all purges up to `index` misses none, Unix ms; 0 for always."""
         first = self._records[0].purge.index if self._records else self.index + 1
         return 0 if index > 0 and first <= index + 1 else self.recorded_since_ms
 
 
 class PurgeReceiver:
-    """The purges of a region, from all its gateways together; disconnections remove none.
+    """Records the purges of a remote region from all its gateways; the records survive disconnections.
 
     Args:
-        max_records: How many purges of objects, and of groups, are kept.
+        max_records: The maximum number of purges of objects, and likewise of groups.
 
     Attributes:
-        by_object: The latest purge of an object, Unix milliseconds of the region.
-        by_group: The same of a group.
-        all_purged_up_to_ms: All that was issued up to then counts as purged.
-        complete_at_ms: Up to then, by the region's clock, no purge is missing.
-        confirmed_at: When that was last confirmed, ns of this gateway's clock; 0: never.
+        by_object: The latest purge of each object, Unix milliseconds by the region's clock.
+        by_group: The latest purge of each group, Unix milliseconds by the region's clock.
+        all_purged_up_to_ms: Every object issued up to this time counts as purged, Unix milliseconds.
+        complete_at_ms: The time up to which no purge is missing, Unix milliseconds by the region's clock.
+        confirmed_at: The time of the last confirmation of completeness, ns of this gateway's clock; 0 if
+            there was none.
     """
 
     def __init__(self, max_records: int) -> None:
@@ -103,7 +104,7 @@
         self.confirmed_at = 0
 
     def add(self, purge: RegionPurge) -> None:
-        """Record a purge; over the bound the oldest one is replaced by a purge of all objects of its age."""
+        """Record a purge; above `max_records` the oldest is replaced by one of all objects at its time."""
         if purge.object_id:
             times, key = self.by_object, purge.object_id
         else:
@@ -114,16 +115,16 @@
             self.all_purged_up_to_ms = max(self.all_purged_up_to_ms, times.pop(oldest))
 
     def mark_synchronized(self, since_ms: int, sent_at_ms: int, now: int) -> bool:
-        """Record that one gateway of the region has sent all purges that it has.
+        """Record that one gateway of the region has sent all purges that it has recorded.
 
         Args:
-            since_ms: Since when it has all.
-            sent_at_ms: When it sent that message, by its clock.
-            now: The present moment, ns.
+            since_ms: The time since which that gateway has recorded every purge, Unix milliseconds.
+            sent_at_ms: The time at which it sent the message, Unix milliseconds by its clock.
+            now: The current time, ns.
 
         Returns:
-            False if purges may be missing: they were complete here only up to a moment before `since_ms`.
-            Then all that was issued before `since_ms` counts as purged.
+            False if purges may be missing, since the records here were complete only up to a time before
+            `since_ms`. Every object issued up to `since_ms` then counts as purged.
         """
         complete = since_ms <= self.complete_at_ms or not self.confirmed_at
         if not complete:
@@ -132,12 +133,12 @@
         return complete
 
     def confirm(self, sent_at_ms: int, now: int) -> None:
-        """Record that a synchronized gateway sent a message at `sent_at_ms` by its clock, received `now`."""
+        """Record a synchronized gateway's message, sent at `sent_at_ms` by its clock, received at `now`."""
         self.complete_at_ms = max(self.complete_at_ms, sent_at_ms)
         self.confirmed_at = max(self.confirmed_at, now)
 
     def latest_ms(self, object_id: int, group: int) -> int:
-        """Return up to when objects are purged; for an unknown group the purges of any group count."""
+        """Return the object's latest purge, Unix ms; to an unknown group the purges of all groups apply."""
         if group == UNKNOWN_GROUP:
             group_purged_ms = max(self.by_group.values(), default=0)
         else:
@@ -145,7 +146,7 @@
         return max(self.all_purged_up_to_ms, self.by_object.get(object_id, 0), group_purged_ms)
 
     def is_purged(self, object_id: int, group: int, issued_ms: int) -> bool:
-        """Return whether an object issued then is purged; one issued in the millisecond of the purge is."""
+        """Return whether an object is purged, which includes one issued in the millisecond of the purge."""
         purged_ms = self.latest_ms(object_id, group)
         return bool(purged_ms) and issued_ms <= purged_ms
 
--- a/marbleglade/gateway/region_events.py
+++ b/marbleglade/gateway/region_events.py
@@ -1,4 +1,4 @@
-"""Applies what discovery and the gateways of other regions send to the request handlers of all regions."""
+"""Passes events from discovery and from gateways of other regions to the request handlers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RegionEvents:
-    """Passes purges and endpoint changes to the handlers of the regions that they concern.
+    """Passes purges and endpoint changes to the request handlers of the affected regions.
 
     Args:
         local_region: The name of this region.
@@ -19,7 +19,7 @@
         self._handlers: dict[str, RequestHandler] = {}
 
     def add_region(self, region: str, handler: RequestHandler) -> None:
-        """Apply events to the handler of a region, too."""
+        """Register the request handler of a region, so that events are passed to it."""
         self._handlers[region] = handler
 
     def local_endpoints_changed(self, change: EndpointListChange) -> None:
@@ -27,16 +27,16 @@
         self._handlers[self._local_region].events.apply(change)
 
     def endpoint_changed(self, region: str, change: EndpointListChange) -> None:
-        """Apply a change of the gateways of a region."""
+        """Apply a change of the gateways of a remote region, which are its endpoints."""
         self._handlers[region].events.apply(change)
 
     def purge_received(self, purge: Purge) -> None:
-        """Apply a purge of any region to all handlers: each may have objects of that region."""
+        """Apply a purge from any region to all handlers, since each may have cached the purged objects."""
         for handler in self._handlers.values():
             handler.events.apply(purge)
 
     def purges_missed(self, before_ms: int) -> None:
-        """Drop what the handlers of other regions have cached if it was issued by `before_ms`, Unix ms."""
+        """Drop the responses cached for remote regions that were issued by `before_ms`, Unix milliseconds."""
         issued_before = clock.from_unix_ms(before_ms)
         for region, handler in self._handlers.items():
             if region != self._local_region:
--- a/marbleglade/gateway/region_router.py
+++ b/marbleglade/gateway/region_router.py
@@ -1,4 +1,4 @@
-"""Routes a request to the local region, to a remote one, or to one after the other."""
+"""Routes a request to the local region, to a remote region, or to several regions one after the other."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 from .routed_request import RegionAttempt, RoutedRequest
 from .routes import Routes
 
-MIN_AGE_NS = MILLISECOND_NS  # the least that a purge may lower a request's `max_age_ns` to; 0 is no bound
+MIN_MAX_AGE_NS = MILLISECOND_NS  # the least that a purge may lower `max_age_ns` to, since 0 means no limit
 
 
 class RegionRouter:
-    """Accepts requests from the listeners as a front's `RequestHandler` does, and selects the regions to ask.
+    """Serves requests from the listeners, as a front's `RequestHandler` does, and selects their regions.
 
-    A request is sent to the next region only if the one before lacks the object and nothing ran there; never
-    to two at once.
+    A request runs in one region at a time. It is sent to the next region only if the previous one does not
+    have the object and cannot have run the request.
 
     Args:
         local_region: The name of this region.
-        local_handler: Its handler.
-        remote_regions: The handlers of the other regions by name.
-        routes: Orders the regions.
+        local_handler: The request handler of this region.
+        remote_regions: The request handlers of the other regions, by region name.
+        routes: Determines the order of the regions for each request.
 
     Attributes:
-        handlers: The handlers of all regions by name.
+        handlers: The request handlers of all regions, by region name.
     """
 
     def __init__(
@@ -57,12 +57,12 @@
         return sum(len(handler.driver.open_requests) for handler in self.handlers.values())
 
     def over_capacity(self) -> bool:
-        """Return whether the bounds of a region's handler are reached, and count it for each."""
+        """Return whether any region's handler is over capacity; each handler that is over counts this."""
         over_capacity = [handler.over_capacity() for handler in self.handlers.values()]
         return any(over_capacity)
 
     def admit(self, client_request: ClientRequest) -> RoutedRequest:
-        """Return a client's or forwarded request with the regions that are asked for it."""
+        """Select the regions of a request, admit it to the first region's handler and return it."""
         now = clock.now()
         regions = self.routes.regions_for(
             int(client_request.object_id, 16), client_request.group, client_request.via_regions, now
@@ -74,7 +74,7 @@
         return routed
 
     def _enter_next_region(self, client_request: ClientRequest, routed: RoutedRequest) -> RegionAttempt:
-        """Admit a request to the handler of its next region."""
+        """Admit a request to the handler of its next region and return the attempt there."""
         region = routed.remaining_regions.pop(0)
         handler = self.handlers[region]
         max_age = client_request.max_age_ns
@@ -90,10 +90,10 @@
 
     def answer_immediately(
         self,
-        client_request: ClientRequest,  # noqa: ARG002 -- as the listeners call it
+        client_request: ClientRequest,  # noqa: ARG002 -- part of the interface that the listeners use
         routed: RoutedRequest,
     ) -> Response | None:
-        """Return the response if the policy decides at once; else call `run`."""
+        """Return the response if the policy decides immediately; otherwise the caller must call `run`."""
         attempt = routed.current
         if attempt is None:
             self.counters.add("request.routing_loop")
@@ -106,12 +106,12 @@
         routed: RoutedRequest,
         respond: Callable[[Response], None],
     ) -> None:
-        """Run an admitted request until it has ended, in one region after the other.
+        """Run an admitted request in one region after another until it has ended.
 
         Args:
-            client_request: What the client sent.
-            routed: The same request, with the regions that are asked for it.
-            respond: Passes the response on; called once at most, and not if the client has left.
+            client_request: The request as the client sent it.
+            routed: The routing state that `admit` returned for the request.
+            respond: Sends the response; called at most once, and never after the client has left.
         """
         attempt = routed.current
         while attempt:
@@ -124,7 +124,7 @@
         attempt: RegionAttempt,
         respond: Callable[[Response], None],
     ) -> RegionAttempt | None:
-        """Run a request in one region; return its attempt in the next region, None if it has ended."""
+        """Run a request in one region; return its attempt in the next region, or None if it has ended."""
         missing = False
 
         def handle_response(response: Response) -> None:
@@ -141,10 +141,10 @@
         response = attempt.handler.answer_immediately(attempt.client_request, attempt.request)
         if response:
             handle_response(response)
-        return attempt  # also if it is answered: its handler then finds it finished
+        return attempt  # if it is already answered, the handler's `run` finds it finished
 
     def _may_try_next_region(self, routed: RoutedRequest, attempt: RegionAttempt, response: Response) -> bool:
-        """Learn from a response where its object is; return whether the next region is asked."""
+        """Record from a response whether the region has the object; return whether to try the next region."""
         object_id = attempt.request.object_id
         if response.outcome is RequestOutcome.SERVED:
             self.routes.record_location(object_id, attempt.region, clock.now())
@@ -160,33 +160,33 @@
         )
 
     def client_half_closed(self, routed: RoutedRequest) -> None:
-        """Ask no further region for a request whose client sends no more, and has most likely left."""
+        """Try no further region: the client has closed its sending side and has most likely left."""
         routed.client_half_closed = True
         if routed.current:
             routed.current.handler.client_half_closed(routed.current.request)
 
     def abandon_request(self, routed: RoutedRequest) -> None:
-        """Forget a request that was answered as failed, since an error keeps it from being run."""
+        """Remove a request that was answered as failed because an error prevented it from running."""
         routed.finished = True
         if routed.current:
             routed.current.handler.abandon_request(routed.current.request)
 
     def client_disconnected(self, routed: RoutedRequest) -> None:
-        """End a request whose client has left."""
+        """Cancel a request whose client has left."""
         routed.finished = True
         if routed.current:
             routed.current.handler.client_disconnected(routed.current.request)
 
 
 def _max_age_of_any_group(max_age: int, handler: RequestHandler) -> int:
-    """Return the `max_age` of a request whose group is not known: any group's purge may apply.
+    """Return the `max_age` of a request with an unknown group, to which a purge of any group may apply.
 
     Args:
-        max_age: Greatest age of a cached response, ns; 0 is `DEFAULT_MAX_AGE`.
-        handler: The handler whose purges count.
+        max_age: The greatest age of a cached response, ns; 0 is `DEFAULT_MAX_AGE`.
+        handler: The request handler whose purge history is used.
     """
     purged_at = handler.purge_history.latest_of_any_group()
     if not purged_at:
         return max_age
-    since_purge = max(MIN_AGE_NS, clock.now() - purged_at)
+    since_purge = max(MIN_MAX_AGE_NS, clock.now() - purged_at)
     return stricter_max_age(since_purge, max_age)
--- a/marbleglade/gateway/region_wiring.py
+++ b/marbleglade/gateway/region_wiring.py
@@ -1,4 +1,4 @@
-"""Wiring of the request handlers of a gateway: one for its own region, one for each other region."""
+"""Creates the request handlers of a gateway: one for its own region and one for each other region."""
 
 from __future__ import annotations
 
@@ -25,11 +25,12 @@
 from .remote_region import RemoteRegion
 from .requester import Requester
 
-INITIAL_LIMIT_DIVISOR = 1 << 6  # the part of a region's concurrency limit with which it begins
-PURGE_RETENTION_FACTOR = 2  # purges are kept for this many times their deadline
+INITIAL_LIMIT_DIVISOR = 1 << 6  # a concurrency limit starts at its maximum divided by this
+PURGE_RETENTION_FACTOR = 2  # purges are stored for this many times the purge deadline
 
-# Divisors of the limits, as the front's: a sixth of the memory for the local caches of all regions and a
-# twelfth for partial bodies; a quarter of the descriptors for connections to upstreams.
+# Divisors of the configured limits, the same as a front's. Of the memory, a sixth is for the local caches of
+# all remote regions together and a twelfth for the partial bodies of each remote region. Of the descriptors,
+# a quarter is for connections to upstreams.
 LOCAL_CACHES_DIVISOR = 6
 PARTIAL_BODIES_DIVISOR = 12
 UPSTREAM_CONNECTIONS_DIVISOR = 4
@@ -39,9 +40,9 @@
     """Creates the request handlers of all regions.
 
     Args:
-        deployment: The deployment, and which gateway of it this is.
-        start_ms: When this gateway started, Unix milliseconds.
-        shared: What the handlers share.
+        deployment: The deployment, and the gateway in it that the handlers belong to.
+        start_ms: The start time of this gateway, Unix milliseconds.
+        shared: The components that all handlers share.
     """
 
     def __init__(self, deployment: LocalDeployment, start_ms: int, shared: SharedParts) -> None:
@@ -62,8 +63,8 @@
         """Return the upstream client and the handler of this region.
 
         Args:
-            environment: The region's settings.
-            apply_pending_events: Applies events of the discovery service that are unread.
+            environment: The settings of the region.
+            apply_pending_events: Reads and applies the events of the discovery service that are still unread.
         """
         upstreams, purge_history = _make_state(environment)
         upstream_client = UpstreamClient(
@@ -147,7 +148,7 @@
         return Requester(links)
 
     def _make_concurrency_limit(self) -> ConcurrencyLimit:
-        """Return this gateway's share of the requests that fit a remote gateway's journal."""
+        """Return a limit of at most this gateway's share of the capacity of a remote gateway's journal."""
         part = self._link_configuration.book_carries // len(self._deployment.region.gateways)
         max_limit = max(INITIAL_LIMIT_DIVISOR, part)
         shortest_objective = min(profile.agreed_ms for profile in self._deployment.configuration.profiles)
--- a/marbleglade/gateway/remote_region.py
+++ b/marbleglade/gateway/remote_region.py
@@ -1,4 +1,4 @@
-"""The handler of requests that another region serves."""
+"""The request handler for requests that a remote region serves."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 class RemoteRegion(RequestHandler):
     """A request handler whose upstreams are the gateways of another region.
 
-    Its local cache is used only while messages of that region arrive, since purges may be missed otherwise.
+    The local cache is used only while messages from that region arrive, since without them purges may be
+    missed.
 
     Args:
         parts: The components that every request handler needs.
-        purge_receiver: The region's purges.
-        max_silence_ns: For how long the local cache is used after the last message of the region.
+        purge_receiver: The region's purges, and when their completeness was last confirmed.
+        max_silence_ns: The time for which the local cache is used after the last confirmation, ns.
     """
 
     def __init__(self, parts: HandlerParts, purge_receiver: PurgeReceiver, max_silence_ns: int) -> None:
@@ -26,13 +27,13 @@
         self._max_silence_ns = max_silence_ns
 
     def admit(self, client_request: ClientRequest) -> Request:
-        """Return a request with this region's class, so that the policy learns apart from other regions."""
+        """Return a request with this region's own class, so that the policy learns for each region alone."""
         request = super().admit(client_request)
         request.request_class = self.request_classes[client_request.class_name]
         return request
 
     def attach_cached(self, client_request: ClientRequest, request: Request) -> None:
-        """Attach the response from the local cache if purges are confirmed and it is not too old."""
+        """Attach the cached response if no purge may be missing and it is within the client's maximum age."""
         if not self._purge_receiver.confirmed_within(clock.now(), self._max_silence_ns):
             return
         super().attach_cached(client_request, request)
--- a/marbleglade/gateway/request_journal.py
+++ b/marbleglade/gateway/request_journal.py
@@ -1,8 +1,8 @@
-"""The status of requests that other regions forwarded, so that they can query it after a disconnection.
+"""Records the status of forwarded requests, which the requesting gateways query after a disconnection.
 
-A request is identified by its gateway, the gateway's incarnation, and a number that rises. A request is not
-accepted if its number was received before, or was reported as never received. Acknowledged and cancelled
-requests are removed, so the journal holds no more than the open and the unacknowledged ones.
+A request is identified by the requesting gateway, that gateway's incarnation, and a number that increases
+with each request. A number is accepted only if it was neither received before nor reported as never received.
+Acknowledged and cancelled requests are removed, so only running and unacknowledged requests are stored.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 class RequestStatus(Enum):
     """The status of a forwarded request."""
 
-    NOT_RECEIVED = 1  # and it will not be accepted any more
+    NOT_RECEIVED = 1  # the request was not received, and will be rejected if it arrives later
     RUNNING = 2
-    COMPLETED = 3  # its response is stored
-    LOST = 4  # it has run or may have run, and its response is not stored
+    COMPLETED = 3  # the response is stored
+    LOST = 4  # the request ran or may have run, and its response is not stored
 
 
-class StoredObject(NamedTuple):
-    """One part of an object, of which a response may be stored."""
+class ObjectPart(NamedTuple):
+    """Identifies one part of an object; the key of stored responses."""
 
     object_id: int
     part: int
@@ -37,17 +37,17 @@
 
 @dataclass(slots=True, eq=False)
 class ForwardedWork:
-    """The work in progress for an entry of the journal.
+    """The state of a forwarded request that has no response yet.
 
     Attributes:
-        partial_body: The part of the response that its requester has already; None: nothing.
-        stored_object: The object's part.
-        arrived_at: When the request counts as received, ns.
-        routed_request: The request, once it runs.
+        partial_body: The part of the response's body that the requester already has; None if it has none.
+        object_part: The object and part that are requested.
+        arrived_at: The time from which the request's timeout counts, ns.
+        routed_request: The request in the router; None until it starts.
     """
 
     partial_body: Had | None
-    stored_object: StoredObject
+    object_part: ObjectPart
     arrived_at: int
     routed_request: RoutedRequest | None = None
 
@@ -57,13 +57,13 @@
     """One forwarded request.
 
     Attributes:
-        number: Its number.
-        expires_at: When its requester waits no longer, ns.
-        work: The work in progress, until the response is stored.
-        response: Its response, once there is one.
-        response_bytes: Bytes of the response's body.
-        stored_object: The object's part of which the response is a copy; None: of none.
-        response_evicted: Its response was removed for lack of memory.
+        number: The request's number.
+        expires_at: The time after which the entry is removed, ns.
+        work: The state of the request until its response is stored; None afterwards.
+        response: The stored response; None until it is stored and after it is evicted.
+        response_bytes: The size of the stored response's body, bytes.
+        object_part: The object and part in the response's body; None if the response has no body.
+        response_evicted: True if the response was removed to keep the bound on memory.
     """
 
     number: int
@@ -71,20 +71,21 @@
     work: ForwardedWork | None = None
     response: Response | None = None
     response_bytes: int = 0
-    stored_object: StoredObject | None = None
+    object_part: ObjectPart | None = None
     response_evicted: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class PeerSession:
-    """The requests of one incarnation of a gateway.
+    """The forwarded requests of one incarnation of a gateway.
 
     Attributes:
-        gateway: Its name.
-        start_ms: Its incarnation: when it started by its own clock, ms.
-        connection_number: The number of its latest connection.
-        last_number: The highest request number that was accepted or that will not be accepted any more.
-        expired_up_to: Requests up to this number that are not in `entries` may have expired.
+        gateway: The gateway's name.
+        start_ms: The gateway's incarnation: its start time by its own clock, Unix milliseconds.
+        connection_number: The number of the gateway's latest connection.
+        last_number: The highest request number used so far; only higher numbers are accepted.
+        expired_up_to: The highest request number that has expired. A request up to this number that is not
+            in `entries` may have expired.
         entries: The requests by number.
     """
 
@@ -97,18 +98,18 @@
 
 
 class RequestJournal:
-    """The requests of all sessions, within bounds; a session has those of one incarnation of a gateway.
+    """The forwarded requests of all sessions, bounded in number and memory.
 
     Args:
-        max_entries: Entries from which on none should be opened.
-        max_bytes: Bytes of stored responses; the oldest are removed first.
-        max_sessions: Sessions; the oldest is removed first.
+        max_entries: The number of entries at which the journal is full; callers open no more then.
+        max_bytes: The maximum size of all stored responses, bytes; the oldest are evicted first.
+        max_sessions: The maximum number of sessions; the oldest is closed first.
 
     Attributes:
-        sessions: The session of each gateway; the one that connected last is the last.
-        entry_by_object: The latest entry with a stored response, by its object's part.
-        entry_count: Entries of all sessions.
-        stored_bytes: Bytes of all stored responses.
+        sessions: The session of each gateway, by name, in the order of their latest connections.
+        entry_by_object: The latest entry with a stored response for each object part.
+        entry_count: The number of entries of all sessions.
+        stored_bytes: The size of all stored responses, bytes.
     """
 
     def __init__(self, max_entries: int, max_bytes: int, max_sessions: int = MAX_SESSIONS) -> None:
@@ -116,7 +117,7 @@
         self.max_bytes = max_bytes
         self.max_sessions = max_sessions
         self.sessions: OrderedDict[str, PeerSession] = OrderedDict()
-        self.entry_by_object: dict[StoredObject, JournalEntry] = {}
+        self.entry_by_object: dict[ObjectPart, JournalEntry] = {}
         self.entry_count = 0
         self.stored_bytes = 0
 
@@ -125,20 +126,20 @@
     def open_session(
         self, gateway: str, start_ms: int, connection_number: int, is_connected: bool
     ) -> tuple[PeerSession | None, list[JournalEntry]]:
-        """Open the session of a gateway's new connection, or continue it.
+        """Open a session for a gateway's new connection, or continue its existing session.
 
-        An earlier incarnation than the known one is accepted if that one is not connected: its clock was set
-        back.
+        An incarnation earlier than that of the existing session is accepted if the gateway has no other
+        connection, since the gateway's clock must have been set back.
 
         Args:
-            gateway: The gateway.
-            start_ms: Its incarnation.
-            connection_number: The number of its connection.
-            is_connected: It has another connection already.
+            gateway: The gateway's name.
+            start_ms: The gateway's incarnation.
+            connection_number: The number of the new connection.
+            is_connected: True if the gateway has another open connection.
 
         Returns:
-            The session, None if a later incarnation or connection is known; and the entries of sessions that
-            ended, whose requesters wait no longer.
+            The session, or None if a later incarnation or connection was seen; and the entries of the
+            sessions that were closed, whose requests are to be cancelled.
         """
         session = self.sessions.get(gateway)
         if session and _is_outdated(session, start_ms, connection_number, is_connected):
@@ -167,11 +168,11 @@
 
     @property
     def full(self) -> bool:
-        """True if no further entry should be opened."""
+        """True if the number of entries has reached its bound, so that new requests are to be rejected."""
         return self.entry_count >= self.max_entries
 
     def open_entry(self, session: PeerSession, number: int, expires_at: int) -> JournalEntry | None:
-        """Open an entry for a request; None if its number was used or is not accepted any more."""
+        """Open an entry for a request; return None if its number is not above the last one used."""
         if not self.consume_number(session, number):
             return None
         entry = JournalEntry(number, expires_at)
@@ -180,16 +181,16 @@
         return entry
 
     def consume_number(self, session: PeerSession, number: int) -> bool:
-        """Use up the number of a request that is rejected at admission; False if it was used before."""
+        """Mark a request number as used; return False if it is not above the last one used."""
         if number <= session.last_number:
             return False
         session.last_number = number
         return True
 
     def status_of(self, session: PeerSession, number: int) -> tuple[RequestStatus, JournalEntry | None]:
-        """Return the status of a request.
+        """Return the status of a request, and its entry if there is one.
 
-        One that was never received is not accepted from here on, nor any with a lower number.
+        If the request was never received, its number and all lower ones are rejected from now on.
         """
         entry = session.entries.get(number)
         if entry is None:
@@ -202,7 +203,7 @@
         return (RequestStatus.RUNNING if entry.response is None else RequestStatus.COMPLETED), entry
 
     def remove(self, session: PeerSession, number: int) -> JournalEntry | None:
-        """Remove and return an entry: its requester has the response, or does not want it any more."""
+        """Remove and return the entry of a request; return None if there is none."""
         entry = session.entries.pop(number, None)
         if entry:
             self.entry_count -= 1
@@ -211,7 +212,7 @@
         return entry
 
     def expire(self, now: int) -> list[JournalEntry]:
-        """Remove and return the entries whose requesters wait no longer at `now`, ns."""
+        """Remove and return the entries that expired before `now`, ns."""
         expired: list[JournalEntry] = []
         for session in self.sessions.values():
             overdue = [entry for entry in session.entries.values() if entry.expires_at < now]
@@ -229,38 +230,38 @@
         entry: JournalEntry,
         response: Response,
         size: int,
-        stored_object: StoredObject | None = None,
+        object_part: ObjectPart | None = None,
     ) -> None:
-        """Store a response until it is acknowledged; without effect if the entry was removed.
+        """Store a response until it is acknowledged; do nothing if the entry was removed.
 
-        Over the bound the oldest responses are removed, and their requests count as lost.
+        Above `max_bytes` the oldest responses are evicted, and the status of their requests becomes LOST.
 
         Args:
             session: The session of the entry.
-            entry: The request.
-            response: Its response.
-            size: Bytes of the response's body.
-            stored_object: The object's part of which it is a copy; None: of none.
+            entry: The entry of the request.
+            response: The response.
+            size: The size of the response's body, bytes.
+            object_part: The object and part in the response's body; None if it has no body.
         """
         if session.entries.get(entry.number) is not entry:
             return
         entry.work = None
         entry.response = response
         entry.response_bytes = size
-        entry.stored_object = stored_object
-        if stored_object is not None:
-            self.entry_by_object[stored_object] = entry
+        entry.object_part = object_part
+        if object_part is not None:
+            self.entry_by_object[object_part] = entry
         self.stored_bytes += size
         if self.stored_bytes > self.max_bytes:
             self._evict_responses()
 
-    def stored_response(self, stored_object: StoredObject) -> Response | None:
-        """Return the latest stored response with an object's part, if there is one."""
-        entry = self.entry_by_object.get(stored_object)
+    def stored_response(self, object_part: ObjectPart) -> Response | None:
+        """Return the latest stored response that contains an object part, if there is one."""
+        entry = self.entry_by_object.get(object_part)
         return entry.response if entry else None
 
     def _evict_responses(self) -> None:
-        """Remove the responses of the oldest sessions, the oldest first, until the bound is kept."""
+        """Evict responses until `max_bytes` is kept, first those of the least recently connected gateway."""
         for session in self.sessions.values():
             for entry in session.entries.values():
                 if self.stored_bytes <= self.max_bytes:
@@ -274,13 +275,13 @@
                 self._remove_from_index(entry)
 
     def _remove_from_index(self, entry: JournalEntry) -> None:
-        stored_object = entry.stored_object
-        if stored_object is not None and self.entry_by_object.get(stored_object) is entry:
-            del self.entry_by_object[stored_object]
+        object_part = entry.object_part
+        if object_part is not None and self.entry_by_object.get(object_part) is entry:
+            del self.entry_by_object[object_part]
 
 
 def _is_outdated(session: PeerSession, start_ms: int, connection_number: int, is_connected: bool) -> bool:
-    """Return whether a new connection is older than the one that the session knows."""
+    """Return whether a connection is older than the latest one of its gateway's session."""
     if start_ms == session.start_ms:
         return connection_number <= session.connection_number
     return start_ms < session.start_ms and is_connected
--- a/marbleglade/gateway/requester.py
+++ b/marbleglade/gateway/requester.py
@@ -1,7 +1,7 @@
-"""Forwards requests to the gateways of one region.
+"""Forwards requests to the gateways of one remote region.
 
-To the handler of that region's requests this is what `UpstreamClient` is to a front's: `execute` sends an
-attempt and blocks until it has ended. Which gateway gets it, and whether it is retried, the policy decides.
+The remote region's request handler uses this class in place of `UpstreamClient`: `execute` sends an attempt
+and blocks until it has ended. The policy selects the gateway and decides about retries.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 
 
 class Requester:
-    """Sends the attempts of one region over its links.
+    """Sends attempts to one remote region over the links to its gateways.
 
     Args:
-        region_links: The links.
+        region_links: The links to the region, with the state that they share.
 
     Attributes:
-        region_links: The links.
-        in_flight: The number of attempts in flight, by upstream.
+        region_links: The links to the region, with the state that they share.
+        in_flight: The number of attempts in flight to each upstream; upstreams without any are not listed.
     """
 
     def __init__(self, region_links: RegionLinks) -> None:
@@ -48,13 +48,13 @@
 
     @property
     def links(self) -> list[Link]:
-        """The links, one for each gateway of the region."""
+        """The links to the region, one for each of its gateways."""
         return self.region_links.links
 
     # Attempts.
 
     def execute(self, client_request: ClientRequest, order: AttemptOrder) -> UpstreamResult:
-        """Forward a request and block until the attempt has ended."""
+        """Forward a request, block until the attempt has ended and return its result."""
         attempt = order.attempt
         if client_request.check_client_end:
             self.region_links.guard.call("client_end", client_request.check_client_end)
@@ -66,8 +66,8 @@
         if link is None or not link.up or time_left <= 0:
             self._counters.add("forward.no_link")
             return UpstreamResult(AttemptResult.CONNECT_FAILED)
-        would_return = self.region_links.ends.remote_region in client_request.via_regions
-        if would_return or not self._concurrency_limit.try_acquire():
+        is_routing_loop = self.region_links.ends.remote_region in client_request.via_regions
+        if is_routing_loop or not self._concurrency_limit.try_acquire():
             self._counters.add("forward.rejected_locally")
             return UpstreamResult(AttemptResult.REJECTED)
         return self._forward(link, client_request, order, time_left)
@@ -116,24 +116,24 @@
         return forwarded
 
     def _max_age_ms(self, link: Link, client_request: ClientRequest, order: AttemptOrder) -> int:
-        """Return the age of the oldest object that policy and client allow and that was not purged there."""
+        """Return the greatest age, ms, that policy and client allow and that excludes purged objects."""
         allowed_ms = max_age_ms(client_request, order)
         object_id = int(client_request.object_id, 16)
         purged_ms = self.region_links.purge_receiver.latest_ms(object_id, client_request.group)
         if not purged_ms:
             return allowed_ms
         now_ns = clock.unix_ns()
-        earliest_there_ms = link.clock_offset.to_remote(now_ns, now_ns).earliest // MILLISECOND_NS
-        since_purge_ms = max(1, earliest_there_ms - purged_ms - 1)
+        earliest_remote_ms = link.clock_offset.to_remote(now_ns, now_ns).earliest // MILLISECOND_NS
+        since_purge_ms = max(1, earliest_remote_ms - purged_ms - 1)
         fresh_ms = client_request.request_class.freshness_lifetime // MILLISECOND_NS
         return min(allowed_ms or fresh_ms or since_purge_ms, since_purge_ms)
 
     def _finish(self, forwarded: ForwardedRequest, result: UpstreamResult | None) -> None:
-        """Release what an attempt that has ended had reserved, and notify the other gateway.
+        """Release the resources of an attempt that has ended, and notify the remote gateway.
 
         Args:
             forwarded: The attempt.
-            result: How it ended; None: it timed out.
+            result: The result of the attempt; None if it timed out.
         """
         has_response = result is not None and result.response is not None
         for link in self.links:
@@ -158,7 +158,7 @@
             self._concurrency_limit.release_failed(overloaded, clock.now())
 
     def _save_partial_body(self, forwarded: ForwardedRequest) -> None:
-        """Store the received part of a body for the next request for the object, most likely a retry."""
+        """Store the received bytes of a body for the next request for the object, most likely a retry."""
         head, receiver = forwarded.response_head, forwarded.body_receiver
         if head is None or receiver is None or not receiver.received_bytes:
             return
@@ -166,33 +166,33 @@
         body = PartialBody(head.tag, head.issued_ms, receiver.data(), expires_at)
         self._partial_bodies.put(forwarded.object_key, body)
 
-    # The rest of what a request handler needs of its upstream client.
+    # The remaining methods of the `AttemptSender` interface.
 
     def request_load_report(self, upstream: Upstream, timeout: int) -> dict[str, float]:  # noqa: ARG002
-        """Return no load report: gateways send heartbeats, and report no load."""
+        """Return an empty load report, since gateways send heartbeats but no load reports."""
         return {}
 
     def release_body(self, result: UpstreamResult) -> None:
-        """Return the bytes of a result's body to the budget."""
+        """Release the bytes of a result's body from the body budget."""
         if result.response and result.response.body:
             self.body_budget.release(len(result.response.body))
 
     def drop_connections(self, upstreams: list[Upstream]) -> None:
-        """Do nothing: links find out themselves that a gateway has restarted."""
+        """Do nothing, since each link detects the restart of its gateway."""
 
     def connections(self, upstream: Upstream) -> int:
-        """Return the number of connections to a gateway, 0 or 1."""
+        """Return the number of connections to a gateway, which is 0 or 1."""
         link = self.region_links.link_by_upstream.get(upstream)
         return int(bool(link and link.connection))
 
     # Periodic work, drain and status.
 
     def maintain_link(self, link: Link) -> None:
-        """Keep one link connected for as long as the gateway runs."""
+        """Connect one link, and reconnect it after each disconnection, until this gateway stops."""
         self._dialer.maintain_link(link)
 
     def sweep(self) -> None:
-        """End requests that have waited long enough for their link, and remove old partial bodies."""
+        """End the requests whose wait for their link has timed out, and remove expired partial bodies."""
         now = clock.now()
         for link in self.links:
             overdue = [forwarded for forwarded in link.detached.values() if forwarded.detached_until <= now]
@@ -203,26 +203,26 @@
         self._partial_bodies.expire(now)
 
     def send_heartbeats(self) -> None:
-        """Send a heartbeat on each connection, and close those that are silent."""
+        """Send a heartbeat on each connection, and close the connections whose peer is silent."""
         for link in self.links:
             if link.connection:
                 link.connection.send_heartbeat()
                 link.connection.check_liveness()
 
     def announce_drain(self) -> None:
-        """Notify the region's gateways that this one stops."""
+        """Notify the region's gateways that this gateway is draining."""
         for link in self.links:
             if link.connection:
                 link.connection.send(DrainNotice())
 
     def close_connections(self) -> None:
-        """Close all connections at once."""
+        """Close all connections immediately."""
         for link in self.links:
             if link.connection:
                 link.connection.close("ended")
 
     def link_status(self) -> list[dict[str, object]]:
-        """Return the state of each link for the status report."""
+        """Return one row with the state of each link, for the status report."""
         now = clock.now()
         return [self._status_of(link, now) for link in self.links]
 
--- a/marbleglade/gateway/responder.py
+++ b/marbleglade/gateway/responder.py
@@ -1,4 +1,4 @@
-"""The responding side of links: accepts connections from gateways of other regions, and sends them purges."""
+"""The responding side of the links: accepts connections of remote gateways and sends them purges."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 from .region_router import RegionRouter
 from .request_journal import PeerSession, RequestJournal
 
-ACCEPT_RETRY_DIVISOR = 8  # after an accept that failed, this part of the silence timeout passes
+ACCEPT_RETRY_DIVISOR = 8  # the pause after a failed accept is the silence timeout divided by this
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,11 +47,11 @@
 
     Attributes:
         local_region: The region of this gateway.
-        local_gateway: Its name.
-        start_ms: Its incarnation: when it started, Unix milliseconds.
-        region_by_gateway: The gateways that may connect, with their regions.
-        silence_timeout_ns: After which a silent connection is closed.
-        max_connections: Connections from other gateways.
+        local_gateway: The name of this gateway.
+        start_ms: The incarnation of this gateway: its start time, Unix milliseconds.
+        region_by_gateway: The region of each remote gateway that may connect, by the gateway's name.
+        silence_timeout_ns: The time without received data after which a connection is closed, ns.
+        max_connections: The maximum number of connections from remote gateways.
     """
 
     local_region: str
@@ -66,19 +66,19 @@
     """Accepts connections from gateways of other regions and serves them.
 
     Args:
-        settings: Who may connect, and limits.
-        router: Serves the requests that they forward.
-        journal: The status of each request.
-        purge_sender: The purges that they are sent.
+        settings: The gateways that may connect, and the limits.
+        router: Serves the forwarded requests.
+        journal: Records the status of each forwarded request.
+        purge_sender: The purges of this region, which are sent to remote gateways.
         discovery_lost: Returns whether this region's discovery service is silent, so purges may be missing.
-        guard: Has the log and the counters; records exceptions.
-        loop_monitor: Measures for how long this process was delayed.
+        guard: Records exceptions, and gives access to the log and the counters.
+        loop_monitor: Measures the delays of this process's event loop.
 
     Attributes:
-        requests: Runs the requests.
-        peers: The latest connection of each gateway.
-        connections: All connections.
-        draining: No more requests are accepted.
+        requests: Runs the forwarded requests.
+        peers: The latest connection of each remote gateway, by the gateway's name.
+        connections: All open connections, including those without an accepted hello.
+        draining: True once this gateway rejects all new forwarded requests.
     """
 
     def __init__(
@@ -99,12 +99,12 @@
         self._counters = guard.counters
         self._log = guard.log
         self._loop_monitor = loop_monitor
-        self.requests = ForwardedRequests(router, journal, self._peer_of, lambda: self.draining, guard)
+        self.requests = ForwardedRequests(router, journal, self._connected_peer, lambda: self.draining, guard)
         self.peers: dict[str, PeerConnection] = {}
         self.connections: set[LinkConnection] = set()
         self.draining = False
 
-    def _peer_of(self, session: PeerSession) -> PeerConnection | None:
+    def _connected_peer(self, session: PeerSession) -> PeerConnection | None:
         peer = self.peers.get(session.gateway)
         is_connected = peer and peer.session is session and not peer.connection.closed
         return peer if is_connected else None
@@ -112,12 +112,12 @@
     # Connections.
 
     def accept(self, listener: socket.socket) -> None:
-        """Accept connections for as long as the gateway runs."""
+        """Accept connections until the gateway stops."""
         failed = partial(self._counters.add, "link.accept_failed")
         retry_pause_s = self._settings.silence_timeout_ns / ACCEPT_RETRY_DIVISOR / SECOND_NS
-        accept_forever(listener, retry_pause_s, failed, self._guard, self._accepted)
+        accept_forever(listener, retry_pause_s, failed, self._guard, self._on_accepted)
 
-    def _accepted(self, sock: socket.socket) -> None:
+    def _on_accepted(self, sock: socket.socket) -> None:
         if len(self.connections) >= self._settings.max_connections:
             self._counters.add("link.connection_limit")
             sock.close()
@@ -143,9 +143,9 @@
         finally:
             connection.close("ended")
             self.connections.discard(connection)
-            self._disconnected(peer)
+            self._on_disconnected(peer)
 
-    def _disconnected(self, peer: PeerConnection) -> None:
+    def _on_disconnected(self, peer: PeerConnection) -> None:
         if peer.has_session and self.peers.get(peer.session.gateway) is peer:
             del self.peers[peer.session.gateway]
             self._log.info(
@@ -159,7 +159,7 @@
     # Messages.
 
     def _on_hello(self, peer: PeerConnection, hello: Hello) -> None:
-        """Accept a gateway, or refuse it with a reason."""
+        """Open or continue the session of a remote gateway, or refuse the connection with a reason."""
         reason = self._reason_to_refuse(hello)
         if reason:
             self._refuse(peer, reason)
@@ -179,7 +179,7 @@
         if earlier:
             earlier.connection.close("replaced")
             self.requests.drop_incomplete(earlier)
-        peer.accepted(session, hello.region)
+        peer.attach_session(session, hello.region)
         self.peers[hello.gateway] = peer
         peer.connection.apply_peer_windows(hello)
         peer.connection.send(self._hello_reply(hello))
@@ -195,7 +195,7 @@
         )
 
     def _reason_to_refuse(self, hello: Hello) -> str:
-        """Return why a gateway must not connect here; empty if it may."""
+        """Return why the connection of a gateway is refused; an empty text if it is allowed."""
         if hello.to_region != self._settings.local_region:
             return f"this is not {hello.to_region}"
         if self._settings.region_by_gateway.get(hello.gateway) != hello.region:
@@ -221,7 +221,7 @@
         )
 
     def _send_purges(self, connection: LinkConnection, hello: Hello) -> None:
-        """Send the purges that a gateway has not received, then the message that these were all."""
+        """Send the purges that a remote gateway has not received, followed by `PurgesComplete`."""
         same_incarnation = hello.known_start_ms == self._settings.start_ms
         known_index = min(hello.known_index, self._purge_sender.index) if same_incarnation else 0
         for purge in self._purge_sender.after(known_index):
@@ -230,7 +230,7 @@
         connection.send(PurgesComplete(index=self._purge_sender.index, since_ms=since_ms))
 
     def _on_heartbeat(self, peer: PeerConnection, message: Heartbeat) -> None:
-        """Answer the first heartbeat at once, so that the link is up sooner."""
+        """Reply to the first heartbeat of a connection immediately, so that the link comes up sooner."""
         if not message.echo_ns:
             peer.connection.send_heartbeat(self._discovery_lost())
 
@@ -240,35 +240,35 @@
     # Periodic work, purges, drain and status.
 
     def send_heartbeats(self) -> None:
-        """Send a heartbeat on each connection, and close those that are silent."""
+        """Send a heartbeat on each connection, and close the connections whose peer is silent."""
         for connection in list(self.connections):
             if connection.frames.hello_received:
                 connection.send_heartbeat(self._discovery_lost())
             connection.check_liveness()
 
     def broadcast_purge(self, purge: RegionPurge) -> None:
-        """Send a purge of this region to all gateways of others."""
+        """Send a purge of this region to all connected gateways of other regions."""
         for peer in self.peers.values():
             peer.connection.send(purge_message(purge))
 
     def announce_drain(self) -> None:
-        """Accept no more requests, and notify the other gateways."""
+        """Reject new forwarded requests from now on, and notify the connected gateways."""
         self.draining = True
         for peer in self.peers.values():
             peer.connection.send(DrainNotice())
 
     def close_gracefully(self) -> None:
-        """Close all connections once what was answered is written."""
+        """Close each connection after its queued responses have been written."""
         for connection in list(self.connections):
             connection.close_after_flush()
 
     def close_connections(self) -> None:
-        """Close all connections at once."""
+        """Close all connections immediately."""
         for connection in list(self.connections):
             connection.close("ended")
 
     def session_status(self) -> list[dict[str, object]]:
-        """Return the sessions of the connected gateways for the status report."""
+        """Return one row for the session of each connected gateway, for the status report."""
         return [
             {
                 "gateway": gateway,
--- a/marbleglade/gateway/routed_request.py
+++ b/marbleglade/gateway/routed_request.py
@@ -1,4 +1,4 @@
-"""The regions that a gateway asks for one request: those that remain, and the present one."""
+"""The routing state of a request: its current region and the regions that may follow."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(slots=True, eq=False)
 class RegionAttempt:
-    """A request as it runs in one region.
+    """The run of a request in one region.
 
     Attributes:
-        region: The region.
-        handler: The handler of that region's requests.
-        client_request: What is asked of the region.
-        request: The same as the region's policy knows it.
+        region: The name of the region.
+        handler: The request handler of the region.
+        client_request: The client's request, with a `max_age_ns` that accounts for the region's purges.
+        request: The request as the region's policy represents it.
     """
 
     region: str
@@ -28,14 +28,14 @@
 
 @dataclass(slots=True, eq=False)
 class RoutedRequest:
-    """A request and the regions that are asked for it.
+    """The regions to which a request is sent, one after another.
 
     Attributes:
-        deadline: Until when its client waits, ns.
-        remaining_regions: The regions that may still be asked, in order.
-        current: The region that is asked at present; None if there was none to ask.
-        finished: It is answered, or its client has left.
-        client_half_closed: Its client sends no more, and has most likely left.
+        deadline: The time at which the client's timeout ends, ns.
+        remaining_regions: The names of the regions that have not been tried, in order.
+        current: The attempt in the current region; None if the request is rejected as a routing loop.
+        finished: True once the request is abandoned or its client has left.
+        client_half_closed: True once the client has closed its sending side; it has most likely left.
     """
 
     deadline: int
--- a/marbleglade/gateway/routes.py
+++ b/marbleglade/gateway/routes.py
@@ -1,4 +1,4 @@
-"""Which region an object belongs to: by the deployment's routes, else by the region that last served it."""
+"""Orders the regions for an object by the deployment's routes, or by the region that last served it."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRule:
-    """Objects and groups that belong to one region; the bounds are inclusive.
+    """A range of object ids and groups that belong to one region; the bounds are inclusive.
 
     Attributes:
-        region: The region.
-        first_group: The first of its groups.
-        last_group: The last of its groups.
-        first_object_id: The first of its objects.
-        last_object_id: The last of its objects.
+        region: The name of the region.
+        first_group: The lowest group of the range.
+        last_group: The highest group of the range.
+        first_object_id: The lowest object id of the range.
+        last_object_id: The highest object id of the range.
     """
 
     region: str
@@ -32,7 +32,7 @@
     last_object_id: int = (1 << 64) - 1
 
     def matches(self, object_id: int, group: int) -> bool:
-        """Return whether the rule holds for an object of a group."""
+        """Return whether an object of a group is within the rule's ranges."""
         return (
             self.first_object_id <= object_id <= self.last_object_id
             and self.first_group <= group <= self.last_group
@@ -40,15 +40,15 @@
 
 
 def route_rule(region: str, first_group: int | None, last_group: int | None, prefix: str) -> RouteRule:
-    """Return the rule of a route in the deployment.
+    """Return the rule for one route of the deployment.
 
-    An unknown group matches only a rule that names no last group.
+    An object of an unknown group matches only rules without a last group.
 
     Args:
-        region: The region.
-        first_group: The first group; None: from the first one on.
-        last_group: The last group; None: all groups, known or not.
-        prefix: The first hex digits of the objects' ids.
+        region: The name of the region.
+        first_group: The lowest group; None for no lower bound.
+        last_group: The highest group; None for no upper bound, which includes unknown groups.
+        prefix: The first hex digits of the object ids; empty for all objects.
     """
     free_digits = OBJECT_ID_DIGITS - len(prefix)
     first_object_id = int(prefix or "0", 16) << BITS_PER_DIGIT * free_digits
@@ -62,7 +62,7 @@
 
 
 def read_route_rules(routes: Iterable[Route]) -> list[RouteRule]:
-    """Return the rules of a deployment's routes, in their order."""
+    """Return one rule for each route of a deployment, in the same order."""
     return [
         route_rule(
             route.region,
@@ -75,12 +75,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServedFrom:
-    """Which region last served an object.
+class ObjectLocation:
+    """The region that last served an object.
 
     Attributes:
-        region: The region.
-        served_at: When, ns.
+        region: The name of the region.
+        served_at: The time at which the object was served, ns.
     """
 
     region: str
@@ -88,17 +88,17 @@
 
 
 class Routes:
-    """Orders the regions that are asked for an object.
+    """Determines the regions to which a request for an object is sent, in order.
 
     Args:
-        local_region: The region of this gateway.
-        remote_regions: All others.
-        rules: The deployment's routes; the first that matches holds.
-        max_objects: For how many objects the region that served them is remembered.
-        retention_ns: For how long.
+        local_region: The name of this gateway's region.
+        remote_regions: The names of all other regions.
+        rules: The rules from the deployment's routes; the first matching rule applies.
+        max_objects: The maximum number of objects whose last region is stored.
+        retention_ns: The time for which an object's last region is used, ns.
 
     Attributes:
-        locations: The region that last served an object, by its id.
+        locations: The region that last served each object, by object id, least recently served first.
     """
 
     def __init__(
@@ -114,20 +114,20 @@
         self.rules = tuple(rules)
         self.max_objects = max_objects
         self.retention_ns = retention_ns
-        self.locations: OrderedDict[int, ServedFrom] = OrderedDict()
+        self.locations: OrderedDict[int, ObjectLocation] = OrderedDict()
 
     def regions_for(self, object_id: int, group: int, via_regions: tuple[str, ...], now: int) -> list[str]:
-        """Return the regions to ask, one after the other.
+        """Return the regions to try, one after another.
 
         Args:
-            object_id: The object.
-            group: Its group.
-            via_regions: Regions that have forwarded the request; if there are any, only the local region is
-                asked, so that no request crosses twice.
-            now: The present moment, ns.
+            object_id: The id of the object.
+            group: The object's group.
+            via_regions: The regions that have forwarded the request. If there are any, only the local region
+                is tried, so that no request is forwarded twice.
+            now: The current time, ns.
 
         Returns:
-            The regions; none if the request has come back to a region that it came through.
+            The names of the regions; empty if the local region is one of `via_regions`, a routing loop.
         """
         if via_regions:
             return [] if self.local_region in via_regions else [self.local_region]
@@ -138,12 +138,12 @@
         first = location.region if location else self.local_region
         return [first, *(region for region in self.regions if region != first)]
 
-    def _recent_location(self, object_id: int, now: int) -> ServedFrom | None:
+    def _recent_location(self, object_id: int, now: int) -> ObjectLocation | None:
         location = self.locations.get(object_id)
         return location if location and now - location.served_at < self.retention_ns else None
 
     def reason_for(self, object_id: int, group: int, now: int) -> str:
-        """Return what `regions_for` follows: "a route", "an answer" (of a region) or "nothing"."""
+        """Return the basis of `regions_for`: "a route", "an answer" (from a region) or "nothing"."""
         if any(rule.matches(object_id, group) for rule in self.rules):
             return "a route"
         return "an answer" if self._recent_location(object_id, now) else "nothing"
@@ -151,12 +151,12 @@
     def record_location(self, object_id: int, region: str, now: int) -> None:
         """Record that a region has served an object at `now`, ns."""
         self.locations.pop(object_id, None)
-        self.locations[object_id] = ServedFrom(region, now)
+        self.locations[object_id] = ObjectLocation(region, now)
         if len(self.locations) > self.max_objects:
             self.locations.popitem(last=False)
 
     def record_missing(self, object_id: int, region: str) -> None:
-        """Record that a region has no such object."""
+        """Remove a region as the location of an object that it does not have."""
         location = self.locations.get(object_id)
         if location and location.region == region:
             del self.locations[object_id]
--- a/marbleglade/gateway/status.py
+++ b/marbleglade/gateway/status.py
@@ -1,4 +1,4 @@
-"""The status report of a gateway, as its log shows it."""
+"""Builds the status report of a gateway, which is written to its log."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def gateway_status(components: GatewayComponents) -> dict[str, object]:
-    """Return the counters and the state of all components of a gateway, as fields of a log event."""
+    """Return the counters and the state of a gateway's components as the fields of a log event."""
     router = components.router
     return {
         "counts": components.counters.table(),
--- a/marbleglade/gateway/wiring.py
+++ b/marbleglade/gateway/wiring.py
@@ -1,4 +1,4 @@
-"""Wiring of one gateway: creates its components in order and connects them. Nothing runs here."""
+"""Creates the components of one gateway in order and connects them; starts none of them."""
 
 from __future__ import annotations
 
@@ -32,15 +32,16 @@
 from .routed_request import RoutedRequest
 from .routes import Routes, read_route_rules
 
-DISCOVERY_TIMEOUT_NS = 2_500 * MILLISECOND_NS  # the discovery protocol promises a line each second
+DISCOVERY_TIMEOUT_NS = 2_500 * MILLISECOND_NS  # the discovery protocol guarantees a line every second
 MAX_PURGE_RECORDS = 1 << 14
-MAX_LOCATED_OBJECTS = 1 << 16  # whose region is remembered
-LOCATION_RETENTION_FACTOR = 16  # for this many times the longest client timeout
-PURGE_RETENTION_FACTOR = 4  # purges are sent for this many times the time in which caches drop older copies
+MAX_LOCATED_OBJECTS = 1 << 16  # objects whose last region is stored
+LOCATION_RETENTION_FACTOR = 16  # a location is used for this many times the longest client timeout
+PURGE_RETENTION_FACTOR = 4  # times the purge deadline, within which caches drop purged objects
 MIN_PEER_CONNECTIONS = 8
 
-# Divisors of the limits, as the front's: a sixth of the memory for bodies, a twelfth for requests of clients;
-# of the descriptors a quarter for clients, and an eighth each for fronts and for gateways.
+# Divisors of the configured limits, the same as a front's. Of the memory, a sixth is for response bodies and
+# a twelfth for client requests. Of the descriptors, a quarter is for connections of clients, and an eighth
+# each for connections of fronts and of gateways.
 BODIES_DIVISOR = 6
 REQUESTS_DIVISOR = 12
 CLIENTS_DIVISOR = 4
@@ -49,12 +50,12 @@
 
 
 class GatewayComponents:
-    """All components of one gateway, with no listener open yet.
+    """All components of one gateway; the listeners are not open yet.
 
     Args:
-        deployment: The deployment, and which gateway of it this is.
-        debug: Log debug events.
-        sink: The descriptor that the log is written to; None: standard error.
+        deployment: The deployment, and the gateway in it that these components belong to.
+        debug: Whether debug events are logged.
+        sink: The file descriptor that the log is written to; None for standard error.
     """
 
     def __init__(self, deployment: LocalDeployment, debug: bool = False, sink: int | None = None) -> None:
@@ -85,7 +86,7 @@
     # Regions.
 
     def _connect_regions(self) -> None:
-        """Create the handlers of all regions, the router among them, and pass events to them."""
+        """Create the request handlers of all regions and their router, and register them for events."""
         shared = SharedParts(self.body_budget, self.region_events, self.guard, self.loop_monitor)
         wiring = RegionWiring(self._deployment, self.start_ms, shared)
         self._local_environment = local_environment(self._deployment, self.start_ms)
@@ -172,7 +173,7 @@
         )
 
     def is_ready(self) -> bool:
-        """Return whether this gateway takes requests."""
+        """Return whether this gateway accepts requests, which it does until its shutdown is requested."""
         return not self.shutdown.requested_at
 
     # Discovery.
@@ -188,7 +189,7 @@
         )
 
     def _apply_discovery_event(self, event: EndpointListChange | Purge) -> None:
-        """Apply an event of this region's discovery service, and send a purge to the other regions."""
+        """Apply an event of this region's discovery service; also send a purge to the other regions."""
         if isinstance(event, EndpointListChange):
             self.region_events.local_endpoints_changed(event)
             return
