--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the gateways' tests."""
+"""Fixtures for the tests of gateways."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def east_alone(two_regions):
-    """Two regions whose west has gone, so that a test may connect under its gateways' names."""
+    """Two regions whose west gateways are stopped, so that a test can connect to the east in their names."""
     for name in ("west-1", "west-2"):
         two_regions.kill(name)
     wait_until(lambda: not two_regions.gateways["east-1"].components.responder.peers)
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def stand_in_regions(tmp_path):
-    """The servers of two regions without gateways, and the path of their deployment."""
+    """The stand-in servers of two regions without gateways, and the path of the deployment file."""
     regions = StandInRegions(LINK)
     path = tmp_path / "two_regions.textproto"
     path.write_text(regions.deployment_text())
--- a/tests/gateway/test_effects_once.py
+++ b/tests/gateway/test_effects_once.py
@@ -1,4 +1,4 @@
-"""Two regions on loopback: no request has its effect twice, whatever happens to the links."""
+"""Two regions on loopback: no request takes effect twice, even if links or gateways fail."""
 
 import gevent
 import pytest
@@ -17,11 +17,11 @@
 @pytest.mark.parametrize(
     "restarted, status",
     [
-        (False, "ok"),  # its response is sent again
-        (True, "fault"),  # nobody knows any more whether it ran
+        (False, "ok"),  # the stored response is sent again
+        (True, "fault"),  # the restart lost the status, so the order may have run
     ],
 )
-def test_an_order_whose_response_was_lost_has_its_effect_once(two_regions, restarted, status):
+def test_an_order_whose_response_was_lost_takes_effect_once(two_regions, restarted, status):
     for cache in two_regions.west.caches:
         cache.response_delay = 0.15
     waiting = start_order(two_regions.client(), 1)
@@ -38,7 +38,7 @@
 
 
 def test_an_order_that_was_never_received_is_retried(two_regions):
-    set_west_fault(two_regions, "down")  # nothing gets to the west
+    set_west_fault(two_regions, "down")  # nothing arrives in the west
     waiting = start_order(two_regions.client(), 2)
     gevent.sleep(0.06)
     reset_west_links(two_regions)
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("class_name", ["orders", "votes"])
-def test_no_effect_happens_twice_while_links_are_reset(two_regions, class_name):
+def test_no_request_takes_effect_twice_while_links_are_reset(two_regions, class_name):
     for cache in two_regions.west.caches:
         cache.response_delay = 0.02
     client = two_regions.client()
@@ -66,5 +66,5 @@
     assert class_name != "orders" or max(effects.values()) == 1
     for number, status in zip(numbers, statuses, strict=True):
         assert status != "ok" or effects[effect_of(number)] >= 1
-        # A vote that is sent again is recognized by its key, so a rejection proves nothing there.
+        # A resent vote is recognized by its idempotency key, so a rejected vote may have taken effect.
         assert status != "full" or class_name == "votes" or not effects[effect_of(number)]
--- a/tests/gateway/test_gateway_process.py
+++ b/tests/gateway/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""Gateways as processes: they stop under load with no request unanswered."""
+"""Gateways as processes: each request is answered when gateways are stopped under load."""
 
 import json
 import signal
@@ -12,12 +12,12 @@
 from tests.harness.programs import start_program
 from tests.harness.region_requests import GET_SECONDS, WEST
 
-START_SECONDS = 40  # of a machine that is busy with other things
-CLIENTS_PORT = 0  # in the ports of a gateway
+START_SECONDS = 40  # for the start of all gateways on a busy machine
+CLIENTS_PORT = 0  # index in a gateway's list of ports
 
 
 def connected_clients(regions, deadline):
-    """A client of each gateway in the east, once all requests to the west are served."""
+    """Returns a client of each east gateway once a request to the west is served through each of them."""
     clients = {}
     names = ("east-1", "east-2")
     while True:
@@ -53,9 +53,9 @@
             client = clients[number % 2]
             waiting.append(gevent.spawn(client.request, "menu-pages", WEST | number << 32, 0, 0, 1500))
             if number == 40:
-                processes["west-1"].send_signal(signal.SIGTERM)  # it responds
+                processes["west-1"].send_signal(signal.SIGTERM)  # on the responding side
             if number == 80:
-                processes["east-1"].send_signal(signal.SIGTERM)  # it requests
+                processes["east-1"].send_signal(signal.SIGTERM)  # on the requesting side
             gevent.sleep(0.005)
         responses = [request.get(timeout=GET_SECONDS) for request in waiting]
         assert all(
--- a/tests/gateway/test_gateway_restarts.py
+++ b/tests/gateway/test_gateway_restarts.py
@@ -1,4 +1,4 @@
-"""Two regions on loopback: gateways that are killed, restarted or drained."""
+"""Two regions on loopback: requests are served while gateways are killed, restarted or drained."""
 
 import gevent
 
@@ -18,7 +18,7 @@
     wait_until(lambda: all(link.up for link in regions.links()))
 
 
-def test_a_region_is_served_while_one_of_its_gateways_runs_and_after_restarts(two_regions):
+def test_a_region_is_reachable_while_one_of_its_gateways_runs_and_after_restarts(two_regions):
     client = two_regions.client()
     pages = west_pages(12)
     two_regions.kill("west-1")
@@ -30,7 +30,7 @@
     assert [version_after_retries(client, page, 100) for page in pages] == [1] * 12
 
 
-def test_requests_of_a_gateway_that_was_killed_are_removed(two_regions):
+def test_requests_of_a_killed_gateway_are_removed_from_the_journals(two_regions):
     waiting = start_request(two_regions.client(), LARGE_WEST_VIDEO)
     gevent.sleep(0.005)
     two_regions.kill("east-1")
--- a/tests/gateway/test_listener_input.py
+++ b/tests/gateway/test_listener_input.py
@@ -1,11 +1,11 @@
-"""What comes at the listeners for fronts and clients: each request is answered, or its connection ends."""
+"""Input at the listeners for fronts and clients: it is answered, or its connection is closed if invalid."""
 
 import pytest
 from gevent import socket
 
 from tests.harness.waiting import TIMEOUT_SECONDS
 
-CLIENTS_PORT, CACHE_SERVER_PORT = 0, 1  # in the ports of a gateway
+CLIENTS_PORT, CACHE_SERVER_PORT = 0, 1  # indices in a gateway's list of ports
 EAST_PAGE = b"do a1 profile=menu-pages,thing=0000000000000008,nth=0,max=900"
 
 
@@ -16,7 +16,7 @@
 
 
 def receive_up_to(sock, size):
-    """What comes until `size` bytes are here or the connection has ended."""
+    """Returns the received bytes once there are at least `size` of them or the connection is closed."""
     received = b""
     while len(received) < size:
         data = sock.recv(65536)
@@ -45,7 +45,7 @@
         (b"undo never\r\nping x\r\n", b"x PONG - 0"),
     ],
 )
-def test_a_front_is_answered(two_regions, data, response):
+def test_a_command_of_a_front_is_answered(two_regions, data, response):
     with connect(two_regions, CACHE_SERVER_PORT) as sock:
         sock.sendall(data)
         assert receive_up_to(sock, len(response)).startswith(response)
@@ -65,7 +65,7 @@
         b"do a1 profile 0\r\n\r\n",
     ],
 )
-def test_a_front_that_can_not_be_understood_is_closed_without_an_answer(two_regions, data):
+def test_invalid_input_of_a_front_closes_its_connection_without_an_answer(two_regions, data):
     with connect(two_regions, CACHE_SERVER_PORT) as sock:
         sock.sendall(data)
         assert sock.recv(10) == b""
@@ -78,13 +78,13 @@
         (b"*4\r\n$3\r\nASK\r\n$1\r\n7\r\n$3\r\nodd\r\n$1\r\nx\r\n", b"fault"),
     ],
 )
-def test_a_client_is_answered(two_regions, data, word):
+def test_a_command_of_a_client_is_answered(two_regions, data, word):
     with connect(two_regions, CLIENTS_PORT) as sock:
         sock.sendall(data)
         assert word in sock.recv(4096)
 
 
-def test_a_client_that_can_not_be_understood_is_closed(two_regions):
+def test_invalid_input_of_a_client_closes_its_connection(two_regions):
     with connect(two_regions, CLIENTS_PORT) as sock:
         sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
         assert sock.recv(4096) == b""
--- a/tests/gateway/test_purges_between_regions.py
+++ b/tests/gateway/test_purges_between_regions.py
@@ -1,4 +1,4 @@
-"""Two regions on loopback: after a purge in either region nothing older is served in the other one."""
+"""Two regions on loopback: after a purge in either region, neither region serves an older version."""
 
 import gevent
 import pytest
@@ -22,14 +22,14 @@
 from tests.harness.waiting import wait_until
 
 WEST_PAGE = WEST | 8
-OWN_CACHE = (
+LOCAL_CACHE_SETTINGS = (
     "link { beat_ms: 20 silent_ms: 120 }\nrules { cold_ms: 0 heard_ratio: 4 }\n"
     "limits { pace: 1e8 width: 100 }\n"
 )
 
 
-def test_a_purge_of_any_group_holds_for_a_front_that_names_no_group(two_regions):
-    """The caches' protocol names no group."""
+def test_a_purge_of_any_group_applies_to_a_request_of_a_front_without_a_group(two_regions):
+    """Requests in the caches' protocol do not state the group of their object."""
     client = CacheClient(("127.0.0.1", two_regions.east.ports["east-1"][1]))
     response = client.request("dish-media", f"{LARGE_WEST_VIDEO:016x}", 0, 1500)
     assert version_of(response.body, LARGE_WEST_VIDEO, 0) == 1
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("object_id", [WEST_PAGE, LARGE_WEST_VIDEO])
 @pytest.mark.parametrize("purged_in", ["east", "west"])
 @pytest.mark.parametrize("whole_group", [True, False])
-def test_a_purge_in_either_region_holds_in_the_other(two_regions, object_id, purged_in, whole_group):
+def test_a_purge_in_either_region_applies_in_the_other(two_regions, object_id, purged_in, whole_group):
     client = two_regions.client()
     assert requested_version(client, object_id) == 1
     purged_id, group = 0 if whole_group else object_id, group_of(object_id)
@@ -54,7 +54,7 @@
     assert version_after_retries(client, object_id) == 2
 
 
-def test_a_purge_during_a_disconnection_holds_from_the_first_response_on(two_regions):
+def test_a_purge_during_a_disconnection_applies_from_the_first_response_on(two_regions):
     client = two_regions.client()
     assert requested_version(client, LARGE_WEST_VIDEO) == 1
     for fault in ("reset", "silent"):
@@ -67,7 +67,7 @@
         assert version_after_retries(client, LARGE_WEST_VIDEO) == before + 1
 
 
-def test_a_response_that_a_purge_overtakes_is_not_passed_on(two_regions):
+def test_a_response_overtaken_by_a_purge_is_not_sent_to_the_client(two_regions):
     set_west_fault(two_regions, rate=300_000)
     waiting = start_request(two_regions.client(), LARGE_WEST_VIDEO)
     gevent.sleep(0.2)
@@ -79,13 +79,13 @@
     assert two_regions.count("forward.purged")
 
 
-def test_a_gateway_disconnected_for_longer_than_purges_are_kept_serves_nothing_older(tmp_path):
+def test_a_gateway_disconnected_beyond_the_retention_of_purges_serves_no_purged_version(tmp_path):
     regions = TwoRegions(tmp_path, LINK.replace("cold_ms: 0", "cold_ms: 0 clear_ms: 50"))
     client = regions.client()
     assert requested_version(client, WEST_PAGE) == 1
     regions.regions.set_fault("reset")
     gevent.sleep(0.1)
-    for number in range(3):  # over more time than the other side keeps them
+    for number in range(3):  # for longer than the other side stores purges
         regions.west.purge(WEST | number << 32 if number else WEST_PAGE)
         gevent.sleep(0.25)
     regions.regions.set_fault("pass")
@@ -95,7 +95,7 @@
 
 
 def test_the_local_cache_serves_a_region_only_while_its_purges_are_confirmed(tmp_path):
-    regions = TwoRegions(tmp_path, OWN_CACHE)
+    regions = TwoRegions(tmp_path, LOCAL_CACHE_SETTINGS)
     client = regions.client()
     for _ in range(4):
         assert version_after_retries(client, LARGE_WEST_VIDEO) == 1
@@ -104,7 +104,7 @@
     assert regions.count("forward.sent") == sent
     regions.regions.set_fault("silent")
     gevent.sleep(0.25)
-    assert requested_version(client, LARGE_WEST_VIDEO) == 1  # it was heard less than 480 ms ago
+    assert requested_version(client, LARGE_WEST_VIDEO) == 1  # last confirmed under 480 ms ago
     gevent.sleep(0.5)
     assert request_object(client, LARGE_WEST_VIDEO).status == "full"
     regions.west.purge(LARGE_WEST_VIDEO)
--- a/tests/gateway/test_request_journal.py
+++ b/tests/gateway/test_request_journal.py
@@ -1,4 +1,4 @@
-"""The journal of forwarded requests: what it says of each, its bounds, and a model of all orders of calls."""
+"""The journal of forwarded requests: statuses, bounds, and a model-based test of random call sequences."""
 
 from hypothesis import settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -9,7 +9,7 @@
 
 
 def journal_with_two_responses():
-    """Of the requests 1, 2, 3 and 5 the first two were answered; there is memory for one response."""
+    """Requests 1, 2, 3 and 5, of which 1 and 2 have responses; the memory bound allows only one of these."""
     journal = RequestJournal(100, 50)
     session, ended = journal.open_session("east-1", 1, 1, False)
     assert not ended
@@ -27,7 +27,7 @@
     assert not journal.consume_number(session, 9)
 
 
-def test_the_status_of_a_request_is_told():
+def test_the_status_of_a_request_is_reported():
     journal = RequestJournal(100, 50)
     session, _ = journal.open_session("east-1", 1, 1, False)
     completed = journal.open_entry(session, 1, 10)
@@ -44,7 +44,7 @@
     assert journal.open_entry(session, 8, 0) is None
 
 
-def test_the_oldest_response_is_removed_for_lack_of_memory_and_its_request_is_lost():
+def test_above_the_memory_bound_the_oldest_response_is_evicted_and_its_request_is_lost():
     journal, session, _ = journal_with_two_responses()
     assert journal.stored_response("part") is None
     assert journal.status_of(session, 1)[0] is RequestStatus.LOST
@@ -72,7 +72,7 @@
     assert ended == [entries[5]] and journal.entry_count == 0 and session.last_number == 0
 
 
-def test_the_journal_is_as_large_as_what_is_open():
+def test_acknowledged_requests_and_the_oldest_sessions_are_removed():
     journal = RequestJournal(10_000, 1 << 20)
     session, _ = journal.open_session("east-1", 1, 1, False)
     for number in range(1, 20_000):
@@ -87,7 +87,7 @@
 
 
 class JournalMachine(RuleBasedStateMachine):
-    """Whatever the order of calls, the journal says what became of each number, no more and no less."""
+    """Compares the status that the journal reports for each number with a model, after any calls."""
 
     def __init__(self):
         super().__init__()
@@ -137,7 +137,7 @@
         elif state in ("lost", "expired"):
             assert status is RequestStatus.LOST
         elif state is None:
-            # It never came: this is said, and holds from then on; or more is not known.
+            # Never received: reported as such from now on, or as lost if a later request has expired.
             assert status is RequestStatus.NOT_RECEIVED or (
                 status is RequestStatus.LOST and number <= self.session.expired_up_to
             )
--- a/tests/gateway/test_routing_between_regions.py
+++ b/tests/gateway/test_routing_between_regions.py
@@ -1,4 +1,4 @@
-"""Two regions on loopback: a request is served from the region that holds its object, by any listener."""
+"""Two regions on loopback: each listener serves requests from the region that holds the object."""
 
 import pytest
 
@@ -20,11 +20,11 @@
 )
 from tests.harness.regions import TwoRegions
 
-CACHE_SERVER_PORT = 1  # in the ports of a gateway
+CACHE_SERVER_PORT = 1  # index in a gateway's list of ports
 
 
 def cache_client(regions):
-    """A connection to the listener for fronts of a gateway in the east."""
+    """Connects to the listener for fronts of an east gateway."""
     return CacheClient(("127.0.0.1", regions.east.ports["east-1"][CACHE_SERVER_PORT]))
 
 
@@ -34,7 +34,7 @@
     assert requested_version(two_regions.client(gateway), object_id) == 1
 
 
-def test_the_listener_for_fronts_serves_the_same(two_regions):
+def test_the_listener_for_fronts_forwards_requests_too(two_regions):
     client = cache_client(two_regions)
     response = client.request("dish-media", f"{LARGE_WEST_VIDEO:016x}", 0, 1500)
     assert response.status == "HIT" and version_of(response.body, LARGE_WEST_VIDEO, 0) == 1
@@ -66,7 +66,7 @@
     assert keys == [IDEMPOTENCY_KEY]
 
 
-def test_an_object_of_an_unknown_region_is_looked_for_in_one_after_the_other_and_then_remembered(tmp_path):
+def test_without_a_route_the_regions_are_tried_in_turn_and_the_location_is_remembered(tmp_path):
     regions = TwoRegions(tmp_path, routed=False)
     client = regions.client()
     object_id = WEST | 12
