--- a/marbleglade/gateway/forwarded_requests.py
+++ b/marbleglade/gateway/forwarded_requests.py
@@ -32,10 +32,10 @@
 from .peer_connection import IncomingRequest, PeerConnection
 from .region_router import RegionRouter
 from .request_journal import (
-    ForwardedWork,
     JournalEntry,
     ObjectPart,
     PeerSession,
+    PendingRequest,
     RequestJournal,
     RequestStatus,
 )
@@ -88,13 +88,13 @@
             raise InvalidLinkFrameError(
                 f"request number {message.number}: expected a number above {peer.session.last_number}"
             )
-        entry.work = ForwardedWork(
+        entry.pending = PendingRequest(
             message.had if message.HasField("had") else None,
             ObjectPart(message.thing, message.part),
             arrival_time(peer.connection.earliest_arrival, clock.now()),
         )
         if not message.body:
-            self._start(peer.session, entry, entry.work, message, b"")
+            self._start(peer.session, entry, entry.pending, message, b"")
             return
         receiver = BodyReceiver(message.body, 0, INITIAL_CREDIT_BYTES)
         peer.incoming[message.number] = IncomingRequest(message, receiver)
@@ -134,8 +134,8 @@
             return
         del peer.incoming[message.number]
         entry = peer.session.entries.get(message.number)
-        if entry and entry.work:
-            self._start(peer.session, entry, entry.work, incoming.message, incoming.receiver.data())
+        if entry and entry.pending:
+            self._start(peer.session, entry, entry.pending, incoming.message, incoming.receiver.data())
 
     def drop_incomplete(self, peer: PeerConnection) -> None:
         """Remove the requests of a closed connection whose body is incomplete; none of them has started."""
@@ -149,19 +149,21 @@
         self,
         session: PeerSession,
         entry: JournalEntry,
-        work: ForwardedWork,
+        pending: PendingRequest,
         message: RequestMessage,
         body: bytes,
     ) -> None:
         request_class = self._router.request_classes[message.profile]
-        request = client_request(message, request_class, body, work.arrived_at)
+        request = client_request(message, request_class, body, pending.arrived_at)
         respond = partial(self._store_and_send, session, entry)
-        if work.partial_body and (stored := self._reusable_response(message, work.partial_body, request)):
+        if pending.partial_body and (
+            stored := self._reusable_response(message, pending.partial_body, request)
+        ):
             self._counters.add("forwarded.served_from_journal")
             respond(stored)
             return
         routed = self._router.admit(request)
-        work.routed_request = routed
+        pending.routed_request = routed
         response = self._router.answer_immediately(request, routed)
         if response:
             respond(response)
@@ -187,9 +189,9 @@
 
     def cancel(self, entry: JournalEntry) -> None:
         """Cancel the request of a removed journal entry if it has started."""
-        if entry.work and entry.work.routed_request:
+        if entry.pending and entry.pending.routed_request:
             self._guard.call(
-                "client_disconnected", self._router.client_disconnected, entry.work.routed_request
+                "client_disconnected", self._router.client_disconnected, entry.pending.routed_request
             )
 
     def expire(self) -> None:
@@ -201,13 +203,13 @@
 
     def _store_and_send(self, session: PeerSession, entry: JournalEntry, response: Response) -> None:
         """Store a response, and send it now, or after a status query if the requester is disconnected."""
-        work = entry.work
-        if work is None or session.entries.get(entry.number) is not entry:
+        pending = entry.pending
+        if pending is None or session.entries.get(entry.number) is not entry:
             return
-        object_part = work.object_part if response.body else None
+        object_part = pending.object_part if response.body else None
         self.journal.store_response(session, entry, response, len(response.body), object_part)
         if peer := self._connected_peer(session):
-            self._send_response(peer, entry.number, response, work.partial_body)
+            self._send_response(peer, entry.number, response, pending.partial_body)
 
     def _send_response(
         self, peer: PeerConnection, number: int, response: Response, part: ReceivedPart | None
@@ -237,7 +239,7 @@
         part = message.had if message.HasField("had") else None
         if entry is None:
             return
-        if status is RequestStatus.RUNNING and part and entry.work:
-            entry.work.partial_body = part
+        if status is RequestStatus.RUNNING and part and entry.pending:
+            entry.pending.partial_body = part
         elif status is RequestStatus.COMPLETED and entry.response:
             self._send_response(peer, entry.number, entry.response, part)
--- a/marbleglade/gateway/request_journal.py
+++ b/marbleglade/gateway/request_journal.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class ForwardedWork:
+class PendingRequest:
     """The state of a forwarded request that has no response yet.
 
     Attributes:
@@ -59,7 +59,7 @@
     Attributes:
         number: The request's number.
         expires_at: The time after which the entry is removed, ns.
-        work: The state of the request until its response is stored; None afterwards.
+        pending: The state of the request until its response is stored; None afterwards.
         response: The stored response; None until it is stored and after it is evicted.
         response_bytes: The size of the stored response's body, bytes.
         object_part: The object and part in the response's body; None if the response has no body.
@@ -68,7 +68,7 @@
 
     number: int
     expires_at: int
-    work: ForwardedWork | None = None
+    pending: PendingRequest | None = None
     response: Response | None = None
     response_bytes: int = 0
     object_part: ObjectPart | None = None
@@ -245,7 +245,7 @@
         """
         if session.entries.get(entry.number) is not entry:
             return
-        entry.work = None
+        entry.pending = None
         entry.response = response
         entry.response_bytes = size
         entry.object_part = object_part
