--- a/marbleglade/control/__init__.py
+++ b/marbleglade/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: distribution and confirmation of events, and of configuration, for large fleets."""
+"""The control plane of a large fleet: distributes events and configuration to fronts and confirms both."""
--- a/marbleglade/control/events/__init__.py
+++ b/marbleglade/control/events/__init__.py
@@ -1,1 +1,1 @@
-"""The event log of a control node, the sessions that read it, and the confirmations of fronts."""
+"""The event log of a control node, the watcher sessions that read it, and the acknowledgements of fronts."""
--- a/marbleglade/control/events/confirmation.py
+++ b/marbleglade/control/events/confirmation.py
@@ -1,10 +1,10 @@
-"""Tracking of which front has applied which event of one node's stream, without I/O.
+"""Tracks which events of one node's stream each front has applied, without I/O.
 
-Whether a purge is applied everywhere follows from the trackers of all nodes together, see `status.merge`.
+`status.merge` combines the trackers of all nodes to decide whether every front has applied a purge.
 
-Times are nanoseconds of one monotonic clock unless their name says otherwise.
+Times are in nanoseconds of the monotonic clock unless the name has another unit.
 
-A set of fronts is a bit mask with one bit for each listed front, in the order of the settings.
+Sets of fronts are bit masks with one bit for each listed front, in the order of the settings.
 """
 
 from __future__ import annotations
@@ -23,29 +23,29 @@
 
 
 class UnknownFrontError(Exception):
-    """Raised for a front that the settings do not list."""
+    """Raised for a front that is not listed in the settings."""
 
 
 class EarlierStartError(Exception):
-    """Raised for a connection of an incarnation that a later one of the same front has followed."""
+    """Raised for a connection of an earlier incarnation of a front whose later one has already connected."""
 
 
 @dataclass(slots=True)
 class FrontRecord:
-    """The state that a front has reported in its present incarnation.
+    """The state of a front in its current incarnation, as reported to this node.
 
     Attributes:
-        name: Its name in the settings.
-        bit: Its bit in sets of fronts.
-        start_ms: When it started, in Unix milliseconds (its incarnation); 0: it never connected.
-        connection: The number of its present connection; 0: it is not connected.
-        connected_at: When that connection was established.
-        has_left: It has shut down gracefully.
-        sent_index: The highest event sent to it on any connection of this incarnation.
-        applied_index: The highest event that it has acknowledged as applied.
+        name: The front's name in the settings.
+        bit: The front's bit in sets of fronts.
+        start_ms: Start of the incarnation, in Unix milliseconds; 0: the front never connected.
+        connection: The number of the current connection; 0: the front is not connected.
+        connected_at: The time at which that connection was established.
+        has_left: True if the front has shut down gracefully.
+        sent_index: The number of the last event sent on any connection of this incarnation.
+        applied_index: The number of the last event that the front acknowledged as applied.
         configuration_version: The configuration version in force at the front; 0: none.
-        rejected_version: The last configuration version that it rejected; 0: none.
-        rejection_reason: Why it rejected that version.
+        rejected_version: The last configuration version that the front rejected; 0: none.
+        rejection_reason: The front's reason for rejecting that version.
     """
 
     name: str
@@ -63,16 +63,16 @@
 
 @dataclass(slots=True)
 class FirstAcknowledgements:
-    """When fronts first acknowledged an event, in nanoseconds from its receipt by this node.
+    """The first acknowledgement of one event by each front, with latencies since this node received it.
 
-    A front that moves here from another node repeats acknowledgements that it already sent there. Fronts that
-    have been connected here ever since the receipt are therefore counted separately.
+    A front that reconnects from another node to this one acknowledges again what it acknowledged there, which
+    makes its latency too long. Fronts connected to this node since the receipt are thus counted separately.
 
     Attributes:
-        connected_fronts: Fronts that acknowledged it and were connected ever since the receipt.
-        connected_latency_ns: The latest first acknowledgement among these.
-        all_fronts: All fronts that acknowledged it.
-        all_latency_ns: The latest first acknowledgement among all.
+        connected_fronts: Fronts that acknowledged the event and were connected since its receipt.
+        connected_latency_ns: The longest latency among these fronts.
+        all_fronts: All fronts that acknowledged the event.
+        all_latency_ns: The longest latency among all fronts.
     """
 
     connected_fronts: int = 0
@@ -81,7 +81,7 @@
     all_latency_ns: int = 0
 
     def record(self, front: FrontRecord, received_at: int, now: int) -> bool:
-        """Record an acknowledgement; true for the first one of a front connected ever since the receipt."""
+        """Record an acknowledgement; return True if it is a front's first and adds to `connected_fronts`."""
         if self.all_fronts & front.bit:
             return False
         self.all_fronts |= front.bit
@@ -95,14 +95,14 @@
 
 @dataclass(slots=True)
 class TrackedPurge:
-    """A purge and its acknowledgements; a front misses it while it has applied only lower numbers.
+    """A purge and its acknowledgements; a front misses it while its `applied_index` is lower than `index`.
 
     Attributes:
-        index: Its number in the stream.
-        received_at: When the node received it.
-        received_unix_ms: The same moment in Unix milliseconds.
-        live: It arrived as it was issued, and not in a replay by the discovery service.
-        acknowledgements: When fronts of any incarnation applied it; recorded only for live purges.
+        index: The event number of the purge in the stream.
+        received_at: The time at which the node received the purge.
+        received_unix_ms: The same time in Unix milliseconds.
+        live: True if the purge arrived when it was issued, and not in a replay by the discovery service.
+        acknowledgements: Acknowledgements by any incarnation; recorded only for live purges.
     """
 
     index: int
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True)
 class TrackedConfiguration:
-    """The newest configuration version, with times as in `TrackedPurge`; version 0: there is none."""
+    """The newest configuration version, with fields as in `TrackedPurge`; version 0: there is none."""
 
     version: int = 0
     received_at: int = 0
@@ -124,48 +124,50 @@
 
 
 class ConfirmationTracker:
-    """Tracks what each listed front has applied and, for the latest purges, which fronts miss them.
+    """Tracks the events that each listed front has applied and the fronts that miss each recent purge.
 
     Args:
-        fronts: Names of all fronts that the settings list.
-        max_purges: How many of the latest purges are tracked.
+        fronts: Names of all fronts listed in the settings.
+        max_purges: Maximum number of tracked purges; the oldest one is dropped first.
     """
 
     def __init__(self, fronts: Sequence[str], max_purges: int = MAX_RECENT_PURGES) -> None:
         self.fronts = {name: FrontRecord(name, 1 << number) for number, name in enumerate(fronts)}
         self.purges: deque[TrackedPurge] = deque(maxlen=max_purges)
         self.configuration = TrackedConfiguration()
-        self.latency = LatencyHistogram()  # from receipt of a purge to its acknowledgement, over all fronts
+        self.latency = LatencyHistogram()  # from the receipt of a purge to its acknowledgement, all fronts
         self._left_fronts = 0
 
-    # Events that the node receives.
+    # Events received by the node.
 
     def add_purge(self, index: int, purge: Purge, now: int, received_unix_ms: int, live: bool) -> None:
-        """Add a purge, which no front has applied yet."""
+        """Track a new purge, which no front has acknowledged yet."""
         self.purges.append(TrackedPurge(index, purge, now, received_unix_ms, live))
 
     def add_configuration(self, version: int, now: int, received_unix_ms: int) -> None:
-        """Replace the newest configuration version; no front has acknowledged it yet."""
+        """Track a new configuration version instead of the previous one."""
         self.configuration = TrackedConfiguration(version, now, received_unix_ms)
 
-    # Messages from fronts.
+    # Connections and messages of fronts.
 
     def admit(self, name: str, start_ms: int) -> FrontRecord:
         """Return the record of a front that connects.
 
         Raises:
-            UnknownFrontError: The settings do not list it.
-            EarlierStartError: A later incarnation of it has connected before.
+            UnknownFrontError: The settings do not list the front.
+            EarlierStartError: A later incarnation of the front has already connected.
         """
         record = self.fronts.get(name)
         if record is None:
-            raise UnknownFrontError(f"front {name} is not listed")
+            raise UnknownFrontError(f"front {name!r} is not listed in the settings")
         if start_ms < record.start_ms:
-            raise EarlierStartError(f"front {name} started at {record.start_ms}, later than {start_ms}")
+            raise EarlierStartError(
+                f"front {name} connected with start {start_ms}, expected at least {record.start_ms}"
+            )
         return record
 
     def record_connected(self, name: str, start_ms: int, connection: int, now: int) -> None:
-        """Record a new connection of a front; a new incarnation has acknowledged nothing."""
+        """Record a new connection of a front; a new incarnation resets the reported state."""
         record = self.admit(name, start_ms)
         if start_ms > record.start_ms:
             self._reset_for_new_start(record, start_ms)
@@ -189,7 +191,7 @@
             record.sent_index = max(record.sent_index, sent_index)
 
     def record_left(self, name: str, connection: int) -> None:
-        """Record a graceful shutdown: the front is not expected to apply anything until it reconnects."""
+        """Record a graceful shutdown: until the front reconnects, purges need no acknowledgement by it."""
         record = self.fronts[name]
         if record.connection == connection:
             self._set_left(record, True)
@@ -202,7 +204,7 @@
             self._left_fronts &= ~record.bit
 
     def record_applied(self, name: str, connection: int, index: int, now: int) -> None:
-        """Record that the front has applied all events up to a number."""
+        """Record that the front has applied all events up to number `index`."""
         record = self.fronts[name]
         if record.connection != connection or index <= record.applied_index:
             return
@@ -238,14 +240,14 @@
     # Queries.
 
     def missing_fronts(self) -> list[int]:
-        """Return for each of `purges` the fronts that have not applied it, including those that left."""
+        """Return the fronts that miss each of `purges`, including fronts that shut down gracefully."""
         records = sorted(self.fronts.values(), key=lambda record: record.applied_index)
         applied = [record.applied_index for record in records]
-        # Element n is the set of the n fronts that have applied the least.
+        # Element n is the set of the n fronts with the lowest applied index.
         least_advanced = [0, *accumulate((record.bit for record in records), or_)]
         return [least_advanced[bisect_left(applied, purge.index)] for purge in self.purges]
 
     @property
     def left_fronts(self) -> int:
-        """The fronts that shut down gracefully and have not reconnected."""
+        """The set of fronts that shut down gracefully and have not reconnected."""
         return self._left_fronts
--- a/marbleglade/control/events/endpoint_table.py
+++ b/marbleglade/control/events/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoint list that results from the events of a discovery service, without I/O."""
+"""The current endpoint list of a discovery service, built from its list changes, without I/O."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 class EndpointTable:
-    """The current endpoint list, to which changes are applied."""
+    """The endpoint list that results from all list changes so far."""
 
     def __init__(self) -> None:
         self.endpoints: dict[str, Endpoint] = {}
-        self.unreadable: dict[str, None] = {}  # names whose latest entry could not be read, in order
+        self.unreadable: dict[str, None] = {}  # ids whose latest entry could not be read, in order
         self.changes = 0  # number of list changes applied
 
     def apply(self, change: EndpointListChange) -> None:
-        """Apply one change; a complete list replaces the present one."""
+        """Apply one list change; a complete list replaces the current one."""
         self.changes += 1
         if change.complete:
             self.endpoints.clear()
@@ -30,5 +30,5 @@
             self.unreadable[name] = None
 
     def as_full_list(self) -> EndpointListChange:
-        """Return the current list as one change that replaces any other list; its number is 0."""
+        """Return the current list as one complete list change with event number 0."""
         return EndpointListChange(0, True, list(self.endpoints.values()), list(self.unreadable))
--- a/marbleglade/control/events/event_log.py
+++ b/marbleglade/control/events/event_log.py
@@ -1,6 +1,6 @@
-"""The event log of one stream, without I/O: recent events for deltas, a compacted state for snapshots.
+"""The event log of one stream, without I/O: recent events for deltas, compacted state for snapshots.
 
-Each event is encoded once, as the line that all watchers are sent.
+Each event is encoded once, as the line that is sent to all watchers.
 """
 
 from __future__ import annotations
@@ -17,48 +17,54 @@
 from ...settings.vocabulary import SETTING_BY_STATE
 from .endpoint_table import EndpointTable
 
-MAX_RETAINED_EVENTS = 1 << 16  # events retained for deltas
-MAX_RETAINED_BYTES = 1 << 24  # bytes of the events retained for deltas
-MAX_RETAINED_PURGES = 1 << 16  # purges retained for snapshots, after compaction
-DROPPED_EVENTS_PER_COMPACTION = 4096  # events beyond the retention are freed in batches
-PURGES_PER_EVICTION = 512  # oldest purges are evicted from the compacted state in batches
-GROUP_COUNT = 256
-MAX_SNAPSHOT_AGE_EVENTS = 256  # a snapshot is reused until this many events followed it
+MAX_RETAINED_EVENTS = 1 << 16  # for deltas
+MAX_RETAINED_BYTES = 1 << 24  # total length of the lines retained for deltas
+MAX_RETAINED_PURGES = 1 << 16  # for snapshots; one purge per object or group
+DROPPED_EVENTS_PER_COMPACTION = 4096  # dropped events are deleted from the list in batches
+PURGES_PER_EVICTION = 512  # the oldest purges are evicted from the compacted state in batches
+GROUP_COUNT = 256  # purge groups
+MAX_SNAPSHOT_AGE_EVENTS = 256  # a snapshot is reused until more events than this follow it
 
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """One event, encoded as the line that watchers are sent; `unix_ms` is the time of a purge, else 0."""
+    """One event, encoded as a line of the stream; `unix_ms` is the time of a purge, 0 for other events."""
 
     index: int
     line: bytes
     unix_ms: int = 0
 
     def renumbered(self, index: int) -> bytes:
-        """Return the line with another number."""
+        """Return the line with another event number."""
         return encode_line(index, self.line[self.line.index(b",") + 1 : -2])
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The state after event `last_index`: bodies of list and configuration, then purges, newest first."""
+    """The compacted state after event `last_index`.
+
+    Attributes:
+        last_index: The number of the last event that the snapshot covers.
+        state_bodies: The encoded bodies of the endpoint list and the configuration, as far as they exist.
+        purges: The retained purges, newest first.
+    """
 
     last_index: int
     state_bodies: tuple[bytes, ...]
     purges: tuple[LogEntry, ...]
 
     def purges_after(self, index: int) -> int:
-        """Count the purges that are newer than an event."""
+        """Return the number of purges with an event number higher than `index`."""
         return bisect_left(self.purges, -index, key=lambda entry: -entry.index)
 
 
 def encode_line(index: int, body: bytes) -> bytes:
-    """Encode one line of the stream."""
+    """Encode one line of the stream from an event number and an encoded body."""
     return b'{"index":%d,%b}\n' % (index, body)
 
 
 def encode_purge(object_id: int, group: int, unix_ms: int) -> bytes:
-    """Encode the body of a purge; `object_id` 0 purges the entire group."""
+    """Encode the body of a purge; with `object_id` 0 it purges the entire group."""
     content: dict[str, str | int] = {"ref": f"{object_id:016x}"} if object_id else {}
     if group or not object_id:
         content["shard"] = group
@@ -67,13 +73,13 @@
 
 
 def purges_of_all_groups(index: int, unix_ms: int) -> Iterator[LogEntry]:
-    """Yield purges of all groups at one time, each under the same number."""
+    """Yield a purge of each group, all with the same time and the same event number."""
     for group in range(GROUP_COUNT):
         yield LogEntry(index, encode_line(index, encode_purge(0, group, unix_ms)), unix_ms)
 
 
 def encode_list(change: EndpointListChange, version: int) -> bytes:
-    """Encode the body of a list change; an unreadable entry is forwarded as its name alone."""
+    """Encode the body of a list change; an entry that could not be read is encoded as its id alone."""
     servers = [_encode_endpoint(endpoint) for endpoint in change.endpoints]
     servers += [{"id": name} for name in change.unreadable]
     return _body("endpoints", {"version": version, "full": change.complete, "servers": servers})
@@ -98,7 +104,7 @@
 
 
 class RetainedConfiguration(NamedTuple):
-    """The configuration version in force, retained for snapshots."""
+    """The newest configuration version, retained for snapshots."""
 
     version: int
     text: str
@@ -109,10 +115,10 @@
 
 
 class EventLog:
-    """Numbers events from 1 and retains those that watchers may still request.
+    """Numbers events from 1 and retains recent events for deltas and compacted state for snapshots.
 
     Args:
-        stream: The stream that the numbers belong to.
+        stream: The identifier of the stream.
         max_events: Maximum number of events retained for deltas.
         max_purges: Maximum number of purges retained for snapshots.
     """
@@ -129,18 +135,18 @@
         self.configuration: RetainedConfiguration | None = None
         self._max_events = max_events
         self._max_purges = max_purges
-        self._entries: list[LogEntry] = []  # the first `_dropped_count` are beyond the retention
+        self._entries: list[LogEntry] = []  # the first `_dropped_count` are no longer retained
         self._dropped_count = 0
         self._retained_bytes = 0
         self._purges: OrderedDict[tuple[str, int], LogEntry] = OrderedDict()  # oldest first
-        # Stands for all evicted purges: all groups count as purged at the latest time among them.
+        # Replaces all evicted purges with a purge of all groups at the latest time among them.
         self._evicted_purges: LogEntry | None = None
         self._snapshot: Snapshot | None = None
 
     # Appending.
 
     def append_purge(self, purge: Purge) -> LogEntry | None:
-        """Append a purge; None if it repeats the latest purge of its object or group."""
+        """Append a purge; return None if it repeats the last purge of its object or group."""
         key = ("object", purge.object_id) if purge.object_id else ("group", purge.group)
         previous = self._purges.get(key)
         if previous and previous.unix_ms == purge.unix_ms != NEVER:
@@ -148,7 +154,7 @@
         entry = self._append(encode_purge(purge.object_id, purge.group, purge.unix_ms), purge.unix_ms)
         retained = entry
         if previous and previous.unix_ms > purge.unix_ms:
-            # The later time covers this purge, so it is retained under the new number.
+            # The previous purge has the later time and covers this one; it is retained under the new number.
             retained = LogEntry(entry.index, previous.renumbered(entry.index), previous.unix_ms)
         self._retain_purge(key, retained)
         return entry
@@ -159,7 +165,7 @@
         return self._append(encode_list(change, self.last_index + 1))
 
     def append_configuration(self, version: int, text: str) -> LogEntry | None:
-        """Append a configuration version; None if it is not newer than the one in force."""
+        """Append a configuration version; return None if it is not newer than the retained one."""
         if self.configuration and version <= self.configuration.version:
             return None
         self.configuration = RetainedConfiguration(version, text)
@@ -192,7 +198,7 @@
             self._evict_oldest_purges()
 
     def _evict_oldest_purges(self) -> None:
-        """Replace the oldest purges by a purge of all groups at the latest time among them."""
+        """Replace the oldest purges with a purge of all groups at the latest time among them."""
         count = min(PURGES_PER_EVICTION, len(self._purges) - 1)
         evicted = [self._purges.popitem(last=False)[1] for _ in range(count)]
         times = [entry.unix_ms for entry in evicted]
@@ -203,11 +209,11 @@
     # Reading.
 
     def can_resume_after(self, index: int) -> bool:
-        """Return True if every event after this number is still retained."""
+        """Return True if all events after number `index` are still retained."""
         return self.last_index - self._retained_count <= index <= self.last_index
 
     def events_after(self, index: int, max_bytes: int) -> list[LogEntry]:
-        """Return the events after a number that `can_resume_after` allows, up to about `max_bytes`."""
+        """Return the events after number `index`, which must be retained, up to about `max_bytes`."""
         entries: list[LogEntry] = []
         size = 0
         for position in range(len(self._entries) - (self.last_index - index), len(self._entries)):
@@ -218,17 +224,17 @@
         return entries
 
     def snapshot(self) -> Snapshot:
-        """Return the present state, or a recent snapshot of it."""
-        known = self._snapshot
+        """Return the cached snapshot if it is recent enough, else a new one."""
+        snapshot = self._snapshot
         if (
-            known is None
-            or self.last_index - known.last_index > MAX_SNAPSHOT_AGE_EVENTS
-            or not self.can_resume_after(known.last_index)
+            snapshot is None
+            or self.last_index - snapshot.last_index > MAX_SNAPSHOT_AGE_EVENTS
+            or not self.can_resume_after(snapshot.last_index)
         ):
-            known = self._snapshot = Snapshot(
+            snapshot = self._snapshot = Snapshot(
                 self.last_index, self._encode_state(), tuple(self._purges_newest_first())
             )
-        return known
+        return snapshot
 
     def _encode_state(self) -> tuple[bytes, ...]:
         bodies = []
--- a/marbleglade/control/events/latency.py
+++ b/marbleglade/control/events/latency.py
@@ -6,13 +6,13 @@
 
 from ...runtime.units import MILLISECOND_NS
 
-FIRST_BOUND_NS = MILLISECOND_NS  # the first bucket ends here
-BUCKETS_PER_DOUBLING = 4  # buckets for each doubling
-BUCKET_COUNT = 88  # the last bucket but one ends after about an hour
+FIRST_BOUND_NS = MILLISECOND_NS  # upper bound of the first bucket
+BUCKETS_PER_DOUBLING = 4
+BUCKET_COUNT = 88  # buckets with an upper bound, the highest about an hour; one more has none
 
 
 class LatencyHistogram:
-    """Counts latencies in buckets whose bounds grow by 2 ** 0.25: a percentile is at most 19% too high."""
+    """Counts latencies in buckets whose bounds grow by 2 ** 0.25: percentiles are at most 19% too high."""
 
     bounds = tuple(
         round(FIRST_BOUND_NS * 2 ** (number / BUCKETS_PER_DOUBLING)) for number in range(BUCKET_COUNT)
@@ -33,7 +33,7 @@
         self.counts[low] += 1
 
     def merge(self, counts: Sequence[int]) -> None:
-        """Add the counts of another histogram of this kind."""
+        """Add the bucket counts of another histogram."""
         for number, count in enumerate(counts[: BUCKET_COUNT + 1]):
             self.counts[number] += count
 
@@ -42,12 +42,12 @@
         """The number of latencies counted."""
         return sum(self.counts)
 
-    def percentile(self, share: float) -> int | None:
-        """Return the bound in nanoseconds that this share of latencies does not exceed; None: no data."""
-        needed = share * self.total
-        counted = 0
+    def percentile(self, fraction: float) -> int | None:
+        """Return the bucket bound, in ns, that this fraction of latencies does not exceed; None: no data."""
+        required_count = fraction * self.total
+        cumulative_count = 0
         for number, count in enumerate(self.counts):
-            counted += count
-            if count and counted >= needed:
+            cumulative_count += count
+            if count and cumulative_count >= required_count:
                 return self.bounds[min(number, BUCKET_COUNT - 1)]
         return None
--- a/marbleglade/control/events/session.py
+++ b/marbleglade/control/events/session.py
@@ -1,7 +1,7 @@
-"""The stream to one watcher of a control node, without I/O: batches, pacing, acknowledgements.
+"""The event stream to one watcher of a control node, without I/O: batches, pacing, acknowledgements.
 
-A session is a position in the shared event log and has no queue of its own, so that a watcher that does not
-read costs the node no more than the unwritten rest of one batch.
+A session has a position in the shared event log and no queue of its own. A watcher that does not read
+therefore uses no more memory than the unwritten rest of one batch.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from .confirmation import FrontRecord
 from .event_log import EventLog, LogEntry, Snapshot, encode_line, purges_of_all_groups
 
-MAX_BATCH_BYTES = 1 << 16  # of one write
-SNAPSHOT_PORTION_NS = SECOND_NS // 4  # a snapshot is sent in portions of this time's worth
-# Between two portions of a snapshot: a watcher replaces a node that sends no line for much longer.
+MAX_BATCH_BYTES = 1 << 16  # a batch ends with the line that reaches this size
+SNAPSHOT_PORTION_NS = SECOND_NS // 4  # one portion has the bytes that the rate limit allows in this time
+# Pause between two portions; a watcher replaces a node that sends no line for much longer than this.
 MAX_SNAPSHOT_PAUSE_NS = 3 * SECOND_NS // 4
-# With at least that many purges to send, the oldest ones may be replaced by a purge of all groups.
-MIN_PURGES_TO_TRUNCATE = 1024
-PURGES_PER_TRUNCATION = 512
+# Only with this many purges left in a snapshot are the oldest ones replaced with a purge of all groups.
+MIN_PURGES_TO_COALESCE = 1024
+PURGES_PER_COALESCING = 512
 
 
 class ProtocolError(Exception):
-    """The watcher violated the protocol; `kind` names the violation for the counters."""
+    """Raised if a watcher violates the protocol; `kind` names the violation in the counters."""
 
     def __init__(self, kind: str, detail: str) -> None:
         super().__init__(detail)
@@ -31,15 +31,15 @@
 
 
 class FellBehindError(Exception):
-    """The log no longer retains the events that the watcher needs next."""
+    """Raised if the log no longer retains the events that the watcher needs next."""
 
 
 class SnapshotCursor:
-    """The progress of sending a snapshot: its lines have rising numbers, the last one `last_index`.
+    """The position in a snapshot that is being sent; its lines have rising numbers up to `last_index`.
 
     Args:
         snapshot: The snapshot to send.
-        after: The watcher has the purges up to this event already.
+        after: The number of the last event that the watcher has; purges up to it are omitted.
     """
 
     def __init__(self, snapshot: Snapshot, after: int) -> None:
@@ -57,11 +57,11 @@
 
     @property
     def spare_numbers(self) -> int:
-        """The number of unused event numbers, left for live events sent before the end of the snapshot."""
+        """The number of event numbers that are free for live events sent before the end of the snapshot."""
         return self.last_index - self._next_number + 1 - self.remaining_lines
 
     def next_line(self) -> bytes:
-        """Return the next line."""
+        """Return the next line of the snapshot."""
         if self._next_state_body < len(self._state_bodies):
             line = encode_line(self._number_of_next_line(), self._state_bodies[self._next_state_body])
             self._next_state_body += 1
@@ -75,73 +75,73 @@
         return self.last_index if self.remaining_lines == 1 else self._next_number
 
     def encode_live_event(self, entry: LogEntry) -> bytes:
-        """Encode a live event as an additional line of the snapshot; there must be a spare number."""
+        """Encode a live event as an additional snapshot line; `spare_numbers` must not be 0."""
         line = entry.renumbered(self._next_number)
         self._next_number += 1
         return line
 
-    def truncate_oldest_purges(self) -> bool:
-        """Replace the oldest purges by a purge of all groups; False if too few are left."""
-        if self._end_purge - self._next_purge < MIN_PURGES_TO_TRUNCATE:
+    def coalesce_oldest_purges(self) -> bool:
+        """Replace the oldest purges with a purge of all groups; return False if too few purges are left."""
+        if self._end_purge - self._next_purge < MIN_PURGES_TO_COALESCE:
             return False
         remaining = self._purges[self._next_purge : self._end_purge]
-        oldest = remaining[-PURGES_PER_TRUNCATION:]
+        oldest = remaining[-PURGES_PER_COALESCING:]
         replacement = purges_of_all_groups(oldest[0].index, max(entry.unix_ms for entry in oldest))
-        self._purges = [*remaining[:-PURGES_PER_TRUNCATION], *replacement]
+        self._purges = [*remaining[:-PURGES_PER_COALESCING], *replacement]
         self._next_purge, self._end_purge = 0, len(self._purges)
         return True
 
 
 def resumable_index(hello: FrontHello, last: int, log: EventLog, record: FrontRecord) -> int | None:
-    """Return the event after which a connecting front can resume; None: it has nothing of this stream.
+    """Return the number after which a connecting front can resume; None: it can't resume this stream.
 
-    Its claim is trusted only up to what this node has sent to this incarnation.
+    The front's number is accepted only if this node has sent that event to the same incarnation.
 
     Raises:
-        ProtocolError: It names a number that this stream has not reached.
+        ProtocolError: The number is higher than that of the last event of this stream.
     """
     if hello.stream != log.stream:
         return None
     if last > log.last_index:
-        raise ProtocolError("follow_not_sent", f"follow {last}, and the last event is {log.last_index}")
+        raise ProtocolError("follow_not_sent", f"follow {last} requested, the last event is {log.last_index}")
     if hello.start_ms != record.start_ms or last > record.sent_index:
         return None
     return last
 
 
 class Session:
-    """The stream of events to one watcher.
+    """The event stream to one watcher.
 
     Args:
-        log: The log that all sessions share.
-        catch_up_bytes_per_s: Rate limit of a snapshot.
+        log: The event log, shared by all sessions.
+        catch_up_bytes_per_s: Rate limit of a snapshot, in bytes per second.
     """
 
     def __init__(self, log: EventLog, catch_up_bytes_per_s: int) -> None:
         self.log = log
-        self.sent_index = 0  # the watcher was sent, or had before, all events up to this number
-        self.configuration_version = 0
+        self.sent_index = 0  # the watcher already had or was sent all events up to this number
+        self.configuration_version = 0  # the last version that the watcher applied or rejected
         self.unwritten = b""  # the rest of the last batch
-        self._load_view = b""  # a load view to be written; a later one replaces it
+        self._queued_load_view = b""  # the next load view to write; a later one replaces it
         self._applied_index = 0
         self._catch_up_bytes_per_s = catch_up_bytes_per_s
         self._cursor: SnapshotCursor | None = None
-        self._live_index = 0  # live events up to this number were sent before the end of the snapshot
+        self._live_index = 0  # live events up to this number were sent as lines of the snapshot
         self._next_portion_at = 0
 
     # Start.
 
     def resume_after(self, last: int) -> None:
-        """Send the events after a number. Raises `FellBehindError` if the log does not retain them."""
+        """Start after event `last`. Raises `FellBehindError` if later events are no longer retained."""
         if not self.log.can_resume_after(last):
-            raise FellBehindError(f"the log does not hold what comes after {last}")
+            raise FellBehindError(f"the log does not retain the events after {last}")
         self.sent_index = self._applied_index = last
 
     def start_for_front(self, last: int | None) -> int:
-        """Send a front what it misses after an event; None: it has nothing of the stream.
+        """Start the stream to a front that has the events up to `last`; None: it has none of the stream.
 
         Returns:
-            The last event that a snapshot covers; 0 if the events themselves are sent.
+            The number of the last event that the snapshot covers; 0 if no snapshot is sent.
         """
         if not self.log.last_index:
             return 0
@@ -154,12 +154,12 @@
         return snapshot.last_index
 
     def queue_greeting(self, line: bytes) -> None:
-        """Send a line before all others."""
+        """Make a line the first one that is sent."""
         self.unwritten = line
 
     def queue_load_view(self, line: bytes) -> None:
-        """Send a load view between events, before those that wait."""
-        self._load_view = line
+        """Send a load view after the current batch and before the remaining events."""
+        self._queued_load_view = line
 
     def _is_far_behind(self, last: int) -> bool:
         return (
@@ -171,22 +171,22 @@
 
     @property
     def in_snapshot(self) -> bool:
-        """True until the last line of a snapshot was returned."""
+        """True until `next_batch` has returned the last line of a snapshot."""
         return self._cursor is not None
 
     def next_batch(self, now: int) -> bytes:
-        """Return the bytes to write now, possibly none. Raises `FellBehindError`."""
+        """Return the bytes to write now, `b""` if there are none. Raises `FellBehindError`."""
         if self.unwritten:
             return self.unwritten
-        if self._load_view:
-            line, self._load_view = self._load_view, b""
+        if self._queued_load_view:
+            line, self._queued_load_view = self._queued_load_view, b""
             return line
         if self._cursor:
             return b"".join(self._snapshot_lines(self._cursor, now))
         if self.sent_index == self.log.last_index:
             return b""
         if not self.log.can_resume_after(self.sent_index):
-            raise FellBehindError(f"the log does not hold what comes after {self.sent_index}")
+            raise FellBehindError(f"the log does not retain the events after {self.sent_index}")
         entries = self.log.events_after(self.sent_index, MAX_BATCH_BYTES)
         self.sent_index = entries[-1].index
         return b"".join(entry.line for entry in entries)
@@ -208,14 +208,14 @@
         return self._catch_up_bytes_per_s * SNAPSHOT_PORTION_NS // SECOND_NS
 
     def _live_lines(self, cursor: SnapshotCursor) -> tuple[list[bytes], bool]:
-        """Return live events to send before the rest of the snapshot; False if no number is left for some."""
+        """Return lines for live events sent early; False if no number was free for at least one of them."""
         if self._live_index == self.log.last_index:
             return [], True
         if not self.log.can_resume_after(self._live_index):
-            raise FellBehindError(f"the log does not hold what comes after {self._live_index}")
+            raise FellBehindError(f"the log does not retain the events after {self._live_index}")
         lines: list[bytes] = []
         for entry in self.log.events_after(self._live_index, MAX_BATCH_BYTES):
-            if not cursor.spare_numbers and not cursor.truncate_oldest_purges():
+            if not cursor.spare_numbers and not cursor.coalesce_oldest_purges():
                 return lines, False
             lines.append(cursor.encode_live_event(entry))
             self._live_index = entry.index
@@ -223,7 +223,7 @@
 
     @staticmethod
     def _next_portion(cursor: SnapshotCursor, max_bytes: int | None) -> list[bytes]:
-        """Return the next lines of the snapshot, all remaining ones if there is no limit."""
+        """Return the next lines of the snapshot, about `max_bytes`; None: all remaining lines."""
         lines: list[bytes] = []
         size = 0
         while cursor.remaining_lines and (max_bytes is None or size < max_bytes):
@@ -232,19 +232,19 @@
         return lines
 
     def record_written(self, batch: bytes, count: int) -> None:
-        """Record that `count` bytes of a batch were written; the rest is the next batch."""
+        """Record that `count` bytes of a batch were written; the rest becomes the next batch."""
         self.unwritten = batch[count:]
 
     def time_until_ready(self, now: int) -> int | None:
-        """Return the nanoseconds until there may be something to write; None: not before the next event."""
-        if self.unwritten or self._load_view:
+        """Return the nanoseconds until there may be data to write; None: not before the next event."""
+        if self.unwritten or self._queued_load_view:
             return 0
         if self._cursor:
             return max(0, self._next_portion_at - now)
         return None if self.sent_index == self.log.last_index else 0
 
     def heartbeat_line(self) -> bytes:
-        """Return the number of the last event if the watcher was sent all events, else nothing."""
+        """Return the heartbeat with the last event's number, or `b""` if some events were not sent yet."""
         if self.unwritten or self._cursor or self.sent_index != self.log.last_index:
             return b""
         return b"%d\n" % self.log.last_index
@@ -255,22 +255,27 @@
         """Accept an acknowledgement.
 
         Raises:
-            ProtocolError: The number was not sent, is lower than the last one, or precedes a snapshot's end.
+            ProtocolError: The snapshot is not complete, or the number was not sent or is lower than before.
         """
         if self._cursor:
             raise ProtocolError(
-                "applied_in_snapshot", f"applied {message.index} before the snapshot was complete"
+                "applied_in_snapshot", f"event {message.index} acknowledged before the snapshot ended"
             )
         if message.index > self.sent_index:
-            raise ProtocolError("applied_not_sent", f"applied {message.index}, sent up to {self.sent_index}")
+            raise ProtocolError(
+                "applied_not_sent", f"event {message.index} acknowledged, sent up to {self.sent_index}"
+            )
         if message.index < self._applied_index:
-            raise ProtocolError("applied_back", f"applied {message.index} after {self._applied_index}")
+            raise ProtocolError(
+                "applied_back", f"event {message.index} acknowledged after event {self._applied_index}"
+            )
         self._applied_index = message.index
 
     def accept_version(self, message: ConfigurationApplied | ConfigurationRejected) -> None:
-        """Accept a configuration version. Raises `ProtocolError` if it is lower than the last one."""
+        """Accept a reported configuration version. Raises `ProtocolError` if it is lower than before."""
         if message.version < self.configuration_version:
             raise ProtocolError(
-                "version_back", f"version {message.version} after {self.configuration_version}"
+                "version_back",
+                f"configuration version {message.version} reported after {self.configuration_version}",
             )
         self.configuration_version = message.version
--- a/marbleglade/control/line_buffer.py
+++ b/marbleglade/control/line_buffer.py
@@ -7,10 +7,10 @@
 
 
 class LineBuffer:
-    """Keeps the incomplete line at the end of what was received.
+    """Splits received bytes into lines and keeps the incomplete last line until the rest of it arrives.
 
     Args:
-        max_line_bytes: The length of the longest line that is accepted.
+        max_line_bytes: Maximum length of an incomplete line, in bytes.
     """
 
     def __init__(self, max_line_bytes: int = MAX_LINE_BYTES) -> None:
@@ -18,13 +18,13 @@
         self._incomplete = bytearray()
 
     def split(self, data: bytes | memoryview) -> list[bytes]:
-        """Return the complete lines, in their order.
+        """Add received bytes and return the lines that are now complete, in order and without line ends.
 
         Raises:
-            InvalidLineError: The incomplete line is too long.
+            InvalidLineError: The incomplete line is longer than `max_line_bytes`.
         """
         self._incomplete += data
         *lines, self._incomplete = self._incomplete.split(b"\n")
         if len(self._incomplete) > self.max_line_bytes:
-            raise InvalidLineError(f"a line of more than {self.max_line_bytes} bytes")
+            raise InvalidLineError(f"the line is longer than {self.max_line_bytes} bytes")
         return [bytes(line) for line in lines]
--- a/marbleglade/control/messages.py
+++ b/marbleglade/control/messages.py
@@ -1,10 +1,11 @@
-"""Lines between control nodes, fronts and operators, as typed values, without I/O.
+"""The line protocol between control nodes, fronts and operators: message types and their codec, without I/O.
 
 A control node implements the watch protocol of the discovery service (`protocols/discovery_protocol.py`): a
-watcher writes `follow N` and is sent numbered events, one JSON object a line, and once a second the last
-number. A front that supports the control plane writes `front NAME START STREAM` before that, is greeted, and
-acknowledges on the same connection what it has applied. Numbers belong to one stream: a node that restarted
-has another one.
+watcher writes `follow N` and receives the events after number N, one JSON object per line, and once a second
+a heartbeat with the number of the last event. A front that supports the control plane first writes
+`front NAME START STREAM`. The node then sends it a greeting before the events, and the front acknowledges
+the events that it has applied on the same connection. Event numbers are valid within one stream; a node
+starts a new stream each time it starts.
 """
 
 from __future__ import annotations
@@ -20,20 +21,20 @@
 from ..model import watch_event
 from ..protocols import discovery_protocol
 
-MAX_REQUEST_LINE_BYTES = 512  # from a front or an operator
-MAX_REASON_CHARACTERS = 200  # of the reason why a front rejects a configuration
-MAX_CONFIGURATION_BYTES = 1 << 16  # of one configuration document
-NO_STREAM = "-"  # the front has no stream yet
-TOKEN = re.compile(r"[A-Za-z0-9._-]{1,64}")
+MAX_REQUEST_LINE_BYTES = 512  # maximum length of a line from a front or an operator
+MAX_REASON_CHARACTERS = 200  # longer reasons for rejecting a configuration are cut off
+MAX_CONFIGURATION_BYTES = 1 << 16  # maximum size of a configuration document
+NO_STREAM = "-"  # sent by a front that has not received any stream yet
+NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,64}")
 
 
 class InvalidLineError(Exception):
-    """A line that can't be used; the connection that it came on is closed."""
+    """Raised for a line that violates the protocol; the receiver closes the connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class FrontHello:
-    """A front's name, its start (Unix milliseconds) and the stream that its event numbers belong to."""
+    """A front's first request: its name, start time (Unix milliseconds) and last stream or `NO_STREAM`."""
 
     name: str
     start_ms: int
@@ -42,28 +43,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Follow:
-    """A request for all events after a number."""
+    """A request for all events with a number higher than `last`."""
 
     last: int
 
 
 @dataclass(frozen=True, slots=True)
 class EventsApplied:
-    """The front has applied every event of the stream up to a number."""
+    """A front has applied every event of the stream up to number `index`."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationApplied:
-    """This configuration version is in force at the front."""
+    """A front has put this configuration version into force."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRejected:
-    """The front rejects this configuration version and keeps the last good one."""
+    """A front rejects this configuration version and keeps its previous valid version."""
 
     version: int
     reason: str
@@ -71,19 +72,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontLeaving:
-    """The front shuts down gracefully."""
+    """A front is shutting down gracefully."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A front's recent load of its links, encoded as between fronts (`protocols/fleet_datagrams.py`)."""
+    """A front's recent load on its links, encoded as a datagram of `protocols/fleet_datagrams.py`."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class PartialViewsQuery:
-    """Another control node's request for this node's partial load views from now on."""
+    """Another control node's request for all future partial load views of this node."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,17 +107,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Greeting:
-    """The node's first line to a front.
+    """The first line of a control node to a front or to another control node.
 
     Attributes:
         deployment: The deployment that the node serves.
         node: The node's name.
-        stream: The stream that the node's numbers belong to.
-        snapshot_to: Events up to this number are sent as a snapshot: numbers are omitted, and only once this
-            one was reached are all events up to it applied. 0: no snapshot, events follow without a gap. The
-            numbers of a snapshot rise from any number, possibly below those that the front has, and its last
-            line has this number. Later events that occur meanwhile may be sent early, as additional lines of
-            the snapshot; they are repeated, under their own numbers, after it.
+        stream: The identifier of the node's event stream.
+        snapshot_to: The number of the last event that the following snapshot covers; 0 if no snapshot
+            follows and the event numbers continue without a gap. Line numbers within a snapshot increase but
+            may skip values, and the first may be lower than the front's last event number. The last line has
+            the number `snapshot_to`, and only then are all events up to it applied. Events that occur
+            during the snapshot may be sent early as additional snapshot lines. They are sent again, under
+            their own numbers, after the snapshot.
     """
 
     deployment: str
@@ -127,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationEvent:
-    """A configuration version that was accepted; `text` is the complete document in protobuf text format."""
+    """An accepted configuration version; `text` is the complete document in protobuf text format."""
 
     index: int
     version: int
@@ -136,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadView:
-    """The aggregated load view for one front, encoded as between fronts; unnumbered, never repeated."""
+    """The aggregated load view for one front, encoded as a fleet datagram; not numbered, never resent."""
 
     data: bytes
 
@@ -157,7 +159,7 @@
 
 
 class ConfigurationContent(TypedDict):
-    """The JSON object of a `ConfigurationEvent`, which its line has beside the event's number."""
+    """The JSON object of a `ConfigurationEvent`; the event number is a separate key of the line."""
 
     version: int
     text: str
@@ -175,7 +177,7 @@
         case ConfigurationApplied(version):
             text = f"configured {version}"
         case ConfigurationRejected(version, reason):
-            text = f"refused {version} {_one_line(reason)}"
+            text = f"refused {version} {_single_line(reason)}"
         case FrontLeaving():
             text = "leave"
         case LoadReport(data):
@@ -194,16 +196,16 @@
         match command:
             case "front":
                 name, start_ms, stream = arguments.split()
-                return FrontHello(_token(name), _number(start_ms), _token(stream))
+                return FrontHello(_parse_name(name), _parse_number(start_ms), _parse_name(stream))
             case "follow":
-                return Follow(_number(arguments))
+                return Follow(_parse_number(arguments))
             case "applied":
-                return EventsApplied(_number(arguments))
+                return EventsApplied(_parse_number(arguments))
             case "configured":
-                return ConfigurationApplied(_number(arguments))
+                return ConfigurationApplied(_parse_number(arguments))
             case "refused":
                 version, _, reason = arguments.partition(" ")
-                return ConfigurationRejected(_number(version), _one_line(reason))
+                return ConfigurationRejected(_parse_number(version), _single_line(reason))
             case "leave" if not arguments:
                 return FrontLeaving()
             case "report":
@@ -213,12 +215,12 @@
             case "status" if not arguments:
                 return StatusQuery()
     except ValueError as error:
-        raise InvalidLineError(f"not a request: {line[:80]!r}") from error
-    raise InvalidLineError(f"not a request: {line[:80]!r}")
+        raise InvalidLineError(f"not a valid request: {line[:80]!r}") from error
+    raise InvalidLineError(f"not a valid request: {line[:80]!r}")
 
 
 def encode_greeting(greeting: Greeting) -> bytes:
-    """Encode the first line of a node to a front."""
+    """Encode the first line of a node to a front or to another node."""
     content: GreetingContent = {
         "deployment": greeting.deployment,
         "node": greeting.node,
@@ -235,7 +237,7 @@
 
 
 def encode_load_view(view: LoadView) -> bytes:
-    """Encode a load view as a line between events."""
+    """Encode a load view as a line without an event number."""
     return _json_line({"view": b64encode(view.data).decode()})
 
 
@@ -251,45 +253,48 @@
         if type(value) is int and value >= 0:
             return watch_event.Heartbeat(value)
         if "control" in value:
-            return _greeting(value["control"])
+            return _parse_greeting(value["control"])
         if "view" in value:
             return LoadView(b64decode(value["view"], validate=True))
         if "configuration" in value:
-            return _configuration(value["index"], value["configuration"])
+            return _parse_configuration(value["index"], value["configuration"])
         return discovery_protocol.parse_event(value)
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise InvalidLineError(f"not a line of a control node: {bytes(line[:80])!r}") from error
+        raise InvalidLineError(f"not a valid line of a control node: {bytes(line[:80])!r}") from error
 
 
-def _greeting(content: GreetingContent) -> Greeting:
+def _parse_greeting(content: GreetingContent) -> Greeting:
     snapshot_to = content["snapshot_to"]
     if type(snapshot_to) is not int or snapshot_to < 0:
-        raise ValueError("snapshot_to is no number")
+        raise ValueError("snapshot_to is not an integer of at least 0")
     return Greeting(
-        _token(content["deployment"]), _token(content["node"]), _token(content["stream"]), snapshot_to
+        _parse_name(content["deployment"]),
+        _parse_name(content["node"]),
+        _parse_name(content["stream"]),
+        snapshot_to,
     )
 
 
-def _configuration(index: int, content: ConfigurationContent) -> ConfigurationEvent:
+def _parse_configuration(index: int, content: ConfigurationContent) -> ConfigurationEvent:
     version, text = content["version"], content["text"]
     if type(index) is not int or index < 1 or type(version) is not int or version < 1:
-        raise ValueError("no number")
+        raise ValueError("index or version is not an integer of at least 1")
     if not isinstance(text, str) or len(text.encode()) > MAX_CONFIGURATION_BYTES:
-        raise ValueError("no document, or one that is too long")
+        raise ValueError("text is not a string, or is longer than MAX_CONFIGURATION_BYTES")
     return ConfigurationEvent(index, version, text)
 
 
-def _token(text: str) -> str:
-    if not TOKEN.fullmatch(text):
-        raise ValueError(f"{text!r} is not a name")
+def _parse_name(text: str) -> str:
+    if not NAME_PATTERN.fullmatch(text):
+        raise ValueError(f"{text!r} is not a name of 1 to 64 letters, digits, dots, underscores and hyphens")
     return text
 
 
-def _number(text: str) -> int:
+def _parse_number(text: str) -> int:
     if not (text.isascii() and text.isdigit() and len(text) < 19):
-        raise ValueError(f"{text!r} is not a number")
+        raise ValueError(f"{text!r} is not a decimal number of at most 18 digits")
     return int(text)
 
 
-def _one_line(text: str) -> str:
+def _single_line(text: str) -> str:
     return " ".join(text.split())[:MAX_REASON_CHARACTERS]
--- a/marbleglade/control/node/__init__.py
+++ b/marbleglade/control/node/__init__.py
@@ -1,1 +1,1 @@
-"""The control node as a process: listener, discovery, load view."""
+"""The control node process: listener, discovery watch, load view aggregation."""
--- a/marbleglade/control/node/configuration_source.py
+++ b/marbleglade/control/node/configuration_source.py
@@ -9,23 +9,24 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionedDocument:
-    """A configuration document in protobuf text format, and the version that it is."""
+    """A configuration document in protobuf text format and its version number."""
 
     version: int
     text: str
 
 
 class ConfigurationSource(Protocol):
-    """The source of the configuration version that is in force."""
+    """Provides the configuration version that is in force and reports each new one."""
 
     def subscribe(self, observer: Callable[[VersionedDocument], None]) -> None:
-        """Call the observer with each version that is in force from now on.
+        """Call the observer with each version that comes into force from now on.
 
-        The source is made before the node that observes it, as its files and addresses may be unusable.
+        The observer is not a constructor argument because the source is created before the control node, so
+        that errors in the source's files and addresses are found before the node starts.
         """
 
     def run(self) -> None:
-        """Run until the greenlet is killed."""
+        """Run the source until its greenlet is killed."""
 
     def current(self) -> VersionedDocument | None:
-        """Return the version in force; None: there is none yet."""
+        """Return the version in force, or None if there is none yet."""
--- a/marbleglade/control/node/connection.py
+++ b/marbleglade/control/node/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a control node: executes the requests of a front, watcher, node or operator."""
+"""One connection to a control node: handles the requests of a front, watcher, other node or operator."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 from .request_reader import RequestReader
 from .watch_writer import WatchWriter
 
-STATUS_SEND_TIMEOUT_S = 5.0  # for an operator to take a status line
-# Reasons in the counters `control.closed.*`, by the error that ends a connection.
+STATUS_SEND_TIMEOUT_S = 5.0  # time in which an operator's connection must accept a status line
+# Suffix of the counter `control.closed.*` for each error that closes a connection.
 CLOSE_REASONS: dict[type[Exception], str] = {
     InvalidLineError: "bad_line",
     FellBehindError: "fell_behind",
@@ -48,15 +48,15 @@
     """Receives the load reports of fronts."""
 
     def handle_report(self, front: str, data: bytes) -> bytes:
-        """Handle an encoded load report; return the encoded view for that front, or nothing if none is due.
+        """Handle an encoded load report; return the encoded view for that front, or `b""` to send none.
 
         Raises:
-            ProtocolError: It is no load report.
+            ProtocolError: The data is not a load report.
         """
 
 
 class ControlConnectionHost(Protocol):
-    """What all connections of a node share."""
+    """The state and functions that all connections of a node share."""
 
     log: EventLog
     confirmation: ConfirmationTracker
@@ -66,26 +66,26 @@
     load_views: LoadReportReceiver
     guard: ErrorGuard
 
-    def spawn(self, work: Callable[[], object]) -> None:
-        """Run work in a greenlet that ends with the node."""
+    def spawn(self, function: Callable[[], object]) -> None:
+        """Run a function in a greenlet that is killed when the node stops."""
 
     def greeting(self, snapshot_to: int) -> Greeting:
-        """Return the node's first line to a front or to another node."""
+        """Return the greeting that starts the stream to a front or another node."""
 
     def close_replaced(self, number: int) -> None:
-        """Close the connection of a front that has a new one."""
+        """Close the connection with this number, if any; its front has opened a new one."""
 
     def connection_closed(self, connection: ControlConnection, reason: str, detail: str) -> None:
-        """Count and log the end of a connection."""
+        """Remove a closed connection; count and log why it was closed."""
 
 
 class ControlConnection:
-    """One connection, from its acceptance to its end.
+    """One accepted connection until it is closed.
 
     Args:
-        host: What it shares with the other connections.
-        sock: Its socket.
-        number: Its number, unique in the node.
+        host: The state and functions shared by all connections.
+        sock: The socket of the connection.
+        number: The number of the connection, unique in the node.
     """
 
     def __init__(self, host: ControlConnectionHost, sock: socket.socket, number: int) -> None:
@@ -96,10 +96,10 @@
         self.session: Session | None = None
         self.writer: WatchWriter | None = None
         self.open = True
-        self.wants_partial_views = False  # it is another control node
+        self.wants_partial_views = False  # the peer is another control node that requested them
 
     def run(self) -> None:
-        """Read until the connection ends; every error closes this connection alone."""
+        """Read and handle requests until the connection ends; an error closes only this connection."""
         try:
             for line in RequestReader(self.sock, self._may_idle).lines():
                 self._handle(decode_request(line))
@@ -118,15 +118,17 @@
         return self.session is not None or self.wants_partial_views
 
     def _handle(self, request: Request) -> None:
-        """Execute one request. Raises `ProtocolError` if it is out of turn."""
+        """Handle one request. Raises `ProtocolError` if it is not allowed in the connection's state."""
         if self.session and self.hello:
-            accepted = self._handle_of_front(request, self.session, self.hello)
+            accepted = self._handle_after_follow(request, self.session, self.hello)
         elif self.session:
             accepted = False
         else:
             accepted = self._handle_before_follow(request)
         if not accepted:
-            raise ProtocolError("out_of_turn", f"{type(request).__name__} is out of turn")
+            raise ProtocolError(
+                "out_of_turn", f"request {type(request).__name__} is not allowed in this state"
+            )
 
     def _handle_before_follow(self, request: Request) -> bool:
         match request:
@@ -144,7 +146,7 @@
                 return False
         return True
 
-    def _handle_of_front(self, request: Request, session: Session, hello: FrontHello) -> bool:
+    def _handle_after_follow(self, request: Request, session: Session, hello: FrontHello) -> bool:
         confirmation = self.host.confirmation
         match request:
             case EventsApplied(index):
@@ -165,7 +167,7 @@
         return True
 
     def _answer_report(self, session: Session, hello: FrontHello, data: bytes) -> None:
-        """Answer a load report with the present view of all fronts."""
+        """Answer a load report with the current aggregated view, if one is due."""
         if view := self.host.load_views.handle_report(hello.name, data):
             session.queue_load_view(encode_load_view(LoadView(view)))
             self.push(clock.now())
@@ -196,25 +198,25 @@
         session.queue_greeting(encode_greeting(self.host.greeting(snapshot_to)))
 
     def push(self, now: int) -> None:
-        """Write new events, if this is a watcher."""
+        """Write new events if the peer is a watcher."""
         if self.writer:
             self.writer.push(now)
 
     def heartbeat(self) -> None:
-        """Send a heartbeat, if this is a watcher that was sent all events."""
+        """Send a heartbeat if the peer is a watcher that was sent all events."""
         if self.writer:
             self.writer.heartbeat()
 
     def send_to_node(self, line: bytes) -> None:
-        """Write a line to another node, which has to take it at once."""
+        """Write a line to another node without blocking; close the connection if only a part fits."""
         try:
             if send_now(self.sock, line) < len(line):
-                self.close("slow", "another node does not take its partial views")
+                self.close("slow", "the send buffer has no space for the whole partial view")
         except OSError as error:
             self.close("lost", str(error))
 
     def close(self, reason: str, detail: str = "") -> None:
-        """End the connection; count and log why."""
+        """Close the connection if it is open; `reason` is for the counters, `detail` for the log."""
         if not self.open:
             return
         self.open = False
--- a/marbleglade/control/node/control_node.py
+++ b/marbleglade/control/node/control_node.py
@@ -1,4 +1,4 @@
-"""One control node: constructs its parts, starts them and stops them."""
+"""One control node: creates, starts and stops its components."""
 
 from __future__ import annotations
 
@@ -27,21 +27,23 @@
 from .node_log import NodeLog
 from .server import ControlServer
 
-MAX_HEARTBEAT_AGE_NS = 2_500 * MILLISECOND_NS  # the discovery service sends one each second
+MAX_HEARTBEAT_AGE_NS = (
+    2_500 * MILLISECOND_NS
+)  # the status is `current` up to this age; heartbeats arrive each second
 STREAM_ID_BYTES = 8
 
 
 class ControlNode:
-    """One control node; its listener opens at `start`.
+    """One control node; `start` opens its listener.
 
     Args:
-        settings: The control plane.
-        name: Which of its nodes this is.
-        configuration: The source of configuration versions; None: there are none.
+        settings: The settings of the control plane.
+        name: The name of this node in the settings.
+        configuration: The source of configuration versions; None: the node distributes none.
         sink: File descriptor of the log; None: standard error.
 
     Raises:
-        ValueError: The settings list no node of this name.
+        ValueError: The settings list no node with this name.
     """
 
     def __init__(
@@ -53,7 +55,7 @@
     ) -> None:
         node = settings.node(name)
         if node is None:
-            raise ValueError(f"no node is named {name}")
+            raise ValueError(f"the control plane settings list no node named {name!r}")
         self.settings = settings
         self.node = node
         self.configuration = configuration
@@ -63,7 +65,7 @@
         self.confirmation = ConfirmationTracker(
             [front for region in settings.regions for front in region.fronts]
         )
-        self.last_heartbeat_at = 0  # of the discovery service; 0: never
+        self.last_heartbeat_at = 0  # time of the discovery service's last heartbeat, ns; 0: none yet
         self.status_reporter = StatusReporter(
             deployment=settings.deployment,
             node=name,
@@ -130,7 +132,7 @@
             self.server.notify_appended()
 
     def _on_heartbeat(self) -> None:
-        """Forward each heartbeat: a node without its discovery service sends none to its watchers."""
+        """Forward a heartbeat to watchers, which thus receive none while the discovery service is down."""
         is_first = not self.last_heartbeat_at
         self.last_heartbeat_at = clock.now()
         if is_first:
@@ -140,7 +142,7 @@
     # Status.
 
     def status(self) -> NodeStatus:
-        """Return the present status."""
+        """Return the current status of the node."""
         age = clock.now() - self.last_heartbeat_at if self.last_heartbeat_at else None
         return self.status_reporter.build(age, age is not None and age <= MAX_HEARTBEAT_AGE_NS)
 
@@ -153,13 +155,13 @@
     """Run one control node in this process until SIGTERM or SIGINT.
 
     Args:
-        settings: The control plane.
-        name: Which of its nodes this is.
-        configuration: The source of configuration versions; None: there are none.
+        settings: The settings of the control plane.
+        name: The name of this node in the settings.
+        configuration: The source of configuration versions; None: the node distributes none.
 
     Raises:
-        OSError: An address can't be listened on.
-        ValueError: The settings list no node of this name.
+        OSError: The listener can't be opened.
+        ValueError: The settings list no node with this name.
     """
     node = ControlNode(settings, name, configuration)
     log = node.guard.log
--- a/marbleglade/control/node/discovery_replay.py
+++ b/marbleglade/control/node/discovery_replay.py
@@ -1,4 +1,4 @@
-"""Merges what a discovery service replays when it is watched from its first event."""
+"""Merges the endpoint lists that a discovery service replays to a watcher that starts at its first event."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class ReplayMerger:
-    """Defers lists that are replayed.
+    """Forwards the endpoint lists of a replay as one complete list, and purges without delay.
 
-    A discovery service that is watched from its first event, at the start or after it restarted, replays old
-    lists, with caches that have left since. They are merged into one complete list, which is forwarded once
-    the replay has reached the last event. Purges are forwarded at once.
+    When the watch begins at the first event, after the node or the discovery service started, the service
+    replays old list changes, including caches that were removed since. The merger collects these changes and
+    forwards the resulting list when a heartbeat ends the replay.
 
     Args:
-        on_purge: Called with a purge; the second argument is False within a replay.
-        on_list: Called with a list change.
-        on_heartbeat: Called at each heartbeat, after what it completes.
+        on_purge: Called with each purge; the second argument is False during a replay.
+        on_list: Called with each list change outside a replay, and with the merged list after a replay.
+        on_heartbeat: Called at each heartbeat, after the merged list of a replay that it ends.
 
     Attributes:
-        replaying: Purges may be repetitions.
-        replayed_list: The lists received in the replay; None: lists are forwarded at once.
+        replaying: True during a replay, when purges may have been received before.
+        replayed_list: The merged list changes of the replay; None: list changes are forwarded at once.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self.replayed_list: EndpointTable | None = EndpointTable()
 
     def callbacks(self) -> WatchCallbacks:
-        """Return what a watch of the discovery service has to call."""
+        """Return the callbacks for a watch of the discovery service."""
         return WatchCallbacks(self._handle_event, self._handle_heartbeat, self._handle_index_restart)
 
     def _handle_event(self, event: EndpointListChange | Purge) -> None:
@@ -55,7 +55,7 @@
         self.replayed_list = EndpointTable()
 
     def _handle_heartbeat(self, _complete: bool) -> None:
-        """End a replay, if any; a service that has no list leaves the previous one in force."""
+        """End a replay, if any; without any list change in it, the previous list stays in force."""
         self.replaying = False
         if self.replayed_list and self.replayed_list.changes:
             change = self.replayed_list.as_full_list()
--- a/marbleglade/control/node/load_view_service.py
+++ b/marbleglade/control/node/load_view_service.py
@@ -1,7 +1,8 @@
-"""A control node's part in aggregating load views: reports from fronts, partial views of the other nodes.
+"""Aggregates load reports of fronts and partial views of the other control nodes into load views.
 
-Reports arrive on the connections of fronts, and each is answered with the view. The node connects to the
-other nodes for their partial views. Disabled if the settings name no period: reports are ignored then.
+Fronts send load reports on their connections, and the node answers each with the aggregated view. The node
+connects to the other nodes to receive their partial views. Without `view_period_ms` in the settings the
+service is disabled and ignores reports.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 from .partial_view import encode_partial_view
 from .partial_view_reader import PartialViewReader
 
-MAX_ANSWERS_PER_PERIOD = 4  # to one front
+MAX_ANSWERS_PER_PERIOD = 4  # per front; reports that arrive sooner are ignored
 
 
 class LoadViewService:
-    """Receives reports, exchanges partial views with the other nodes, answers with the merged view.
+    """Receives reports, exchanges partial views with other nodes, and returns the aggregated view.
 
     Args:
-        settings: The control plane.
+        settings: The settings of the control plane.
         node: The name of this node.
         guard: Counts ignored reports and records errors.
     """
@@ -42,50 +43,50 @@
         self.answered_at: dict[str, int] = {}
         self.readers = [
             PartialViewReader(
-                peer, settings.deployment, self.period_ns, partial(self._take_partial_view, peer.name), guard
+                peer, settings.deployment, self.period_ns, partial(self._add_partial_view, peer.name), guard
             )
             for peer in settings.nodes
             if peer.name != node
         ]
 
     def workers(self, send_to_nodes: Callable[[bytes], None]) -> Iterator[Callable[[], None]]:
-        """Yield the functions that run, each in a greenlet, until the node ends.
+        """Yield the functions to run, each in its own greenlet, until the node stops.
 
         Args:
-            send_to_nodes: Writes a line to all nodes that requested partial views.
+            send_to_nodes: Writes a line to every node that requested partial views.
         """
         if self.period_ns:
-            yield partial(self._publish, send_to_nodes)
+            yield partial(self._publish_partial_views, send_to_nodes)
             yield from (reader.run for reader in self.readers)
 
     def handle_report(self, front: str, data: bytes) -> bytes:
-        """Handle an encoded load report; return the encoded view for that front, or nothing if none is due.
+        """Handle an encoded load report; return the encoded view for that front, or `b""` to send none.
 
         Raises:
-            ProtocolError: It is no load report.
+            ProtocolError: The data is not a load report.
         """
         report = fleet_datagrams.decode(data)
         if not isinstance(report, FrontReport):
-            raise ProtocolError("bad_report", "not a load report")
+            raise ProtocolError("bad_report", "the data is not a load report")
         now = clock.now()
-        early = (
+        too_early = (
             now - self.answered_at.get(front, now - self.period_ns) < self.period_ns // MAX_ANSWERS_PER_PERIOD
         )
-        if not self.period_ns or early:
+        if not self.period_ns or too_early:
             self.guard.counters.add("control.report_ignored")
             return b""
         self.answered_at[front] = now
         self.views.add_report(self.front_numbers[front], report, now)
         return fleet_datagrams.encode(self.views.view_for(report.zone, now))
 
-    def _take_partial_view(self, node: str, view: AggregatedView) -> None:
+    def _add_partial_view(self, node: str, view: AggregatedView) -> None:
         self.views.add_partial_view(node, view, clock.now())
 
-    def _publish(self, send_to_nodes: Callable[[bytes], None]) -> None:
-        """Send the other nodes this one's partial view, once a period."""
+    def _publish_partial_views(self, send_to_nodes: Callable[[bytes], None]) -> None:
+        """Send this node's partial view to the other nodes once per period."""
         while True:
             gevent.sleep(self.period_ns / SECOND_NS)
-            self.guard.call("load_views", self._publish_once, send_to_nodes)
+            self.guard.call("load_views", self._publish_partial_view, send_to_nodes)
 
-    def _publish_once(self, send_to_nodes: Callable[[bytes], None]) -> None:
+    def _publish_partial_view(self, send_to_nodes: Callable[[bytes], None]) -> None:
         send_to_nodes(encode_partial_view(self.views.partial_view(clock.now())))
--- a/marbleglade/control/node/node_log.py
+++ b/marbleglade/control/node/node_log.py
@@ -1,4 +1,4 @@
-"""The log of a control node."""
+"""The structured log of a control node."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class NodeLog(Log):
-    """The log of a control node: like that of a front, with the node's name as `node`."""
+    """A JSON log like that of a front, with the name of the control node in the field `node`."""
 
     def info(self, event: str, **fields: object) -> None:
-        """Write one line."""
+        """Write one log line."""
         head = {"at": time.time_ns() // MILLISECOND_NS, "node": self.name, "event": event}
         self.write(orjson.dumps(head | fields, default=str, option=orjson.OPT_APPEND_NEWLINE))
--- a/marbleglade/control/node/partial_view.py
+++ b/marbleglade/control/node/partial_view.py
@@ -1,7 +1,7 @@
-"""Partial load views between control nodes, as lines of JSON, without I/O.
+"""The codec of partial load views, which control nodes exchange as JSON lines, without I/O.
 
-A node that wants another's partial views connects to its address and writes `partial-views`; it is greeted
-like a front and sent one partial view a line.
+A node connects to the address of another node and writes `partial-views`. The other node answers with a
+greeting, as to a front, and then sends one partial view per line.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 MAX_LINE_BYTES = 1 << 14
 MAX_TOTAL = 2**63 - 1
-# Limits of the field widths in the datagrams between fronts.
+# Maximum values that fit into the fields of the datagrams between fronts.
 MAX_LINK = 2**8 - 1
 MAX_ZONE = 2**8 - 1
 MAX_FRONT = 2**16 - 1
@@ -32,14 +32,14 @@
 MAX_UPSTREAM = 2**32 - 1
 
 Row = TypeVar("Row")
-# Rows of the JSON line: arrays with these fields.
-LinkRow = tuple[int, int, int]  # link, work and duration in milliseconds
+# Row types of the JSON line: arrays with the fields in this order.
+LinkRow = tuple[int, int, int]  # link, work in milliseconds, duration in milliseconds
 ZoneRow = tuple[int, float, int, int]  # zone, load, age in milliseconds, prober
 CircuitRow = tuple[int, int, int]  # upstream, reporters, prober
 
 
 def encode_partial_view(view: AggregatedView) -> bytes:
-    """Encode a partial view as one line."""
+    """Encode a partial view as one JSON line."""
     content = {
         "seq": view.sequence,
         "fronts": view.fronts,
@@ -59,7 +59,7 @@
 
 
 def decode_partial_view(line: bytes) -> AggregatedView:
-    """Decode and check a line. Raises `InvalidLineError` for anything that no node writes."""
+    """Decode and validate a line. Raises `InvalidLineError` if it is not a valid partial view."""
     try:
         content = orjson.loads(line)["partial_view"]
         links: list[LinkRow] = content["links"]
@@ -67,49 +67,53 @@
         circuits: list[CircuitRow] = content["shut"]
         recovered: list[int] = content["answered"]
         view = AggregatedView(NODE_TERM, 0)
-        view.sequence = _number(content["seq"], MAX_TOTAL)
-        view.fronts = _number(content["fronts"], MAX_TOTAL)
-        view.load_ms = _number(content["load"], MAX_TOTAL)
-        view.first_requests = _number(content["firsts"], MAX_TOTAL)
-        view.retry_cost = _number(content["furthers"], MAX_TOTAL)
-        view.rejected = _number(content["pushed"], MAX_TOTAL)
+        view.sequence = _checked_integer(content["seq"], MAX_TOTAL)
+        view.fronts = _checked_integer(content["fronts"], MAX_TOTAL)
+        view.load_ms = _checked_integer(content["load"], MAX_TOTAL)
+        view.first_requests = _checked_integer(content["firsts"], MAX_TOTAL)
+        view.retry_cost = _checked_integer(content["furthers"], MAX_TOTAL)
+        view.rejected = _checked_integer(content["pushed"], MAX_TOTAL)
         view.links = {
-            _number(link, MAX_LINK): LinkWork(_number(work_ms, MAX_TOTAL), _number(duration_ms, MAX_TOTAL))
-            for link, work_ms, duration_ms in _bounded_list(links, MAX_ZONES + FILL_LINK_KEYS)
+            _checked_integer(link, MAX_LINK): LinkWork(
+                _checked_integer(work_ms, MAX_TOTAL), _checked_integer(duration_ms, MAX_TOTAL)
+            )
+            for link, work_ms, duration_ms in _checked_list(links, MAX_ZONES + FILL_LINK_KEYS)
         }
         view.zone_loads = {
-            _number(zone, MAX_ZONE): ZoneLoad(
-                _load(load), _number(age_ms, UNKNOWN_AGE_MS), _number(prober, MAX_FRONT)
+            _checked_integer(zone, MAX_ZONE): ZoneLoad(
+                _checked_load(load),
+                _checked_integer(age_ms, UNKNOWN_AGE_MS),
+                _checked_integer(prober, MAX_FRONT),
             )
-            for zone, load, age_ms, prober in _bounded_list(zones, MAX_ZONES)
+            for zone, load, age_ms, prober in _checked_list(zones, MAX_ZONES)
         }
         view.open_circuits = {
-            _number(upstream, MAX_UPSTREAM): OpenCircuit(
-                _number(reporters, MAX_REPORTING_FRONTS), _number(prober, MAX_FRONT)
+            _checked_integer(upstream, MAX_UPSTREAM): OpenCircuit(
+                _checked_integer(reporters, MAX_REPORTING_FRONTS), _checked_integer(prober, MAX_FRONT)
             )
-            for upstream, reporters, prober in _bounded_list(circuits, MAX_OPEN_CIRCUITS)
+            for upstream, reporters, prober in _checked_list(circuits, MAX_OPEN_CIRCUITS)
         }
         view.recovered = [
-            _number(upstream, MAX_UPSTREAM) for upstream in _bounded_list(recovered, MAX_RECOVERED)
+            _checked_integer(upstream, MAX_UPSTREAM) for upstream in _checked_list(recovered, MAX_RECOVERED)
         ]
         return view
     except (ValueError, KeyError, TypeError) as error:
-        raise InvalidLineError(f"not a partial view: {line[:80]!r}") from error
+        raise InvalidLineError(f"not a valid partial view: {line[:80]!r}") from error
 
 
-def _bounded_list(rows: list[Row], max_length: int) -> list[Row]:
+def _checked_list(rows: list[Row], max_length: int) -> list[Row]:
     if not isinstance(rows, list) or len(rows) > max_length:
-        raise ValueError("no list, or a longer one than any node writes")
+        raise ValueError("not a list, or longer than the maximum length")
     return rows
 
 
-def _number(value: int, maximum: int) -> int:
+def _checked_integer(value: int, maximum: int) -> int:
     if type(value) is not int or not 0 <= value <= maximum:
-        raise ValueError(f"{value!r} is not a number up to {maximum}")
+        raise ValueError(f"{value!r} is not an integer from 0 to {maximum}")
     return value
 
 
-def _load(value: float) -> float:
+def _checked_load(value: float) -> float:
     if type(value) not in (int, float) or not 0 <= value <= MAX_TOTAL:
-        raise ValueError(f"{value!r} is no load")
+        raise ValueError(f"{value!r} is not a load: expected a number from 0 to {MAX_TOTAL}")
     return float(value)
--- a/marbleglade/control/node/partial_view_reader.py
+++ b/marbleglade/control/node/partial_view_reader.py
@@ -1,4 +1,4 @@
-"""The connection on which a control node receives another node's partial load views."""
+"""Receives the partial load views of another control node."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from ..settings import NodeSettings
 from .partial_view import MAX_LINE_BYTES, decode_partial_view
 
-MAX_SILENT_PERIODS = 6  # without a byte, after which the connection is replaced
-RETRY_PAUSE_S = 1.0  # after a connection that ended
+MAX_SILENT_PERIODS = 6  # view periods without data after which the connection is replaced
+RETRY_PAUSE_S = 1.0  # delay before a reconnect
 
 
 class PartialViewReader:
-    """Receives the partial load views of one other node until its greenlet is killed.
+    """Receives the partial load views of one other node, with reconnects, until its greenlet is killed.
 
     Args:
         node: The node to connect to.
-        deployment: The deployment that it must serve.
-        period_ns: Nanoseconds between two of its lines.
+        deployment: The deployment that the node must name in its greeting.
+        period_ns: Interval of the partial views, in nanoseconds.
         on_view: Called with each partial view.
-        guard: Counts lost connections.
+        guard: Counts lost connections and records unexpected errors.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self.max_silence_s = MAX_SILENT_PERIODS * period_ns / SECOND_NS
 
     def run(self) -> None:
-        """Connect and read, again after each end."""
+        """Connect and read partial views; reconnect whenever the connection ends."""
         while True:
             try:
                 self._read_connection()
@@ -75,4 +75,4 @@
                 else:
                     check_greeting(decode_stream_line(line), self.deployment, self.node.name)
                     greeted = True
-        raise ConnectionResetError("closed by the node")
+        raise ConnectionResetError("the other control node closed the connection")
--- a/marbleglade/control/node/watch_writer.py
+++ b/marbleglade/control/node/watch_writer.py
@@ -1,4 +1,4 @@
-"""Writes the stream of one session to its connection, without blocking the greenlet that appends events."""
+"""Writes the event stream of one session without blocking the greenlet that appends events."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from ...transport.sockets import send_now
 from ..events.session import FellBehindError, Session
 
-STALL_TIMEOUT_S = 2.0  # without a byte taken, after which a slow reader is closed
-BATCHES_PER_PUSH = 4
+STALL_TIMEOUT_S = 2.0  # a connection that accepts no data for this time is closed
+BATCHES_PER_PUSH = 4  # maximum number of batches written before the greenlet takes over
 
 
 class WatchWriter:
-    """Writes at once what the kernel accepts, and the rest in a greenlet of its own.
+    """Writes without blocking as far as the kernel accepts data, and the rest in a separate greenlet.
 
     Args:
-        session: What is to be written.
-        sock: Where it is written to.
+        session: The session that provides the data.
+        sock: The socket to write to.
         spawn: Runs a function in a greenlet.
         close: Closes the connection, with a reason for the counters and a detail for the log.
     """
@@ -39,17 +39,17 @@
         self._spawn = spawn
         self._close = close
         self._stopped = False
-        self._greenlet_runs = False
-        self._wake = Event()  # set when there may be something to write
+        self._greenlet_running = False
+        self._wake = Event()  # set when there may be new data, or to stop the greenlet
 
     def stop(self) -> None:
-        """End the greenlet, if any; nothing is written after the connection was closed."""
+        """Stop the greenlet, if any, so that nothing is written after the connection was closed."""
         self._stopped = True
         self._wake.set()
 
     def push(self, now: int) -> None:
-        """Write what the kernel accepts at once; the greenlet writes the rest, and a paced snapshot."""
-        if self._greenlet_runs:
+        """Write without blocking; the greenlet writes the rest, and the later portions of a snapshot."""
+        if self._greenlet_running:
             self._wake.set()
             return
         try:
@@ -59,8 +59,8 @@
         except OSError as error:
             self._close("lost", str(error))
         if not self._stopped and self._session.time_until_ready(now) is not None:
-            self._greenlet_runs = True
-            self._spawn(self._run)
+            self._greenlet_running = True
+            self._spawn(self._run_greenlet)
 
     def _write_batches(self, now: int) -> None:
         for _ in range(BATCHES_PER_PUSH):
@@ -71,20 +71,20 @@
             if self._session.unwritten:
                 return
 
-    def _run(self) -> None:
+    def _run_greenlet(self) -> None:
         try:
             self._write_until_current()
         except TimeoutError:
-            self._close("slow", f"took nothing for {STALL_TIMEOUT_S:g} s")
+            self._close("slow", f"the watcher accepted no data for {STALL_TIMEOUT_S:g} s")
         except FellBehindError as error:
             self._close("fell_behind", str(error))
         except OSError as error:
             self._close("lost", str(error))
         finally:
-            self._greenlet_runs = False
+            self._greenlet_running = False
 
     def _write_until_current(self) -> None:
-        """Write until the watcher has all events, waiting for its reads and for the pace of a snapshot."""
+        """Write until the watcher was sent all events; wait for its reads and between snapshot portions."""
         while not self._stopped:
             batch = self._session.next_batch(clock.now())
             if batch:
@@ -101,7 +101,7 @@
 
     def heartbeat(self) -> None:
         """Send the number of the last event if the watcher was sent all events."""
-        line = b"" if self._greenlet_runs else self._session.heartbeat_line()
+        line = b"" if self._greenlet_running else self._session.heartbeat_line()
         if not line:
             return
         try:
--- a/marbleglade/control/status/__init__.py
+++ b/marbleglade/control/status/__init__.py
@@ -1,1 +1,1 @@
-"""The status of control nodes: reported by each, queried, and merged."""
+"""The status of control nodes: built by each node, queried from all nodes, and merged."""
--- a/marbleglade/control/status/merge.py
+++ b/marbleglade/control/status/merge.py
@@ -1,8 +1,9 @@
-"""The statuses of several control nodes merged into that of the deployment, without I/O.
+"""Merges the statuses of several control nodes into the status of the deployment, without I/O.
 
-A front has applied a purge if it acknowledged it to some node in its present incarnation: the latest one that
-any node knows. What is unknown counts as missing, and so does a front that is connected to no node and has
-not shut down gracefully: it may have restarted since its last acknowledgement.
+A front has applied a purge if its current incarnation has acknowledged the purge to any node. The current
+incarnation is the latest one that any node has recorded. A front counts as missing the purge if no node can
+show the acknowledgement. So does a front that is connected to no node and has not shut down gracefully, as it
+may have restarted since its last acknowledgement.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 from ..settings import ControlSettings
 from .node_status import FirstAcknowledgementsStatus, FrontStatus, NodeStatus, PurgeIdentity, PurgeStatus
 
-MAX_NAMED_FRONTS = 10  # fronts listed by name for one purge
+MAX_NAMED_FRONTS = 10  # names listed for one set of missing fronts
 
 
 @dataclass(frozen=True, slots=True)
 class NodeAnswer:
-    """The answer of one node: its status, or why there is none."""
+    """The answer of one node: its status, or None and the reason in `error`."""
 
     name: str
     status: NodeStatus | None
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingFronts:
-    """Fronts that miss something: how many, and the names of the first."""
+    """Fronts that miss an event or are absent: their number and the names of the first ones."""
 
     count: int
     first_names: tuple[str, ...]
@@ -36,13 +37,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeSummary:
-    """One purge in the deployment.
+    """The state of one purge in the deployment.
 
     Attributes:
-        received_unix_ms: When the first node received it.
-        missing_fronts: The fronts that miss it; none: it is applied everywhere.
-        duration_ms: Upper bound of the time to the last front's acknowledgement; None: some front misses it.
-        live: A node received it as it was issued and not in a replay, so that the times are meaningful.
+        received_unix_ms: The time at which the first node received the purge.
+        missing_fronts: The fronts that have not applied the purge.
+        duration_ms: Upper bound of the time from the first receipt to the last front's acknowledgement; None
+            if some front misses the purge.
+        live: True if a node received the purge when it was issued. If all nodes received it in a replay by
+            the discovery service, the times are not meaningful.
     """
 
     identity: PurgeIdentity
@@ -54,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRejection:
-    """A front that rejected a configuration version."""
+    """The rejection of a configuration version by a front."""
 
     front: str
     version: int
@@ -63,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationSummary:
-    """The newest configuration version in the deployment, fields as in `PurgeSummary`; version 0: none."""
+    """The newest configuration version in the deployment, with fields as in `PurgeSummary`; 0: none."""
 
     version: int
     received_unix_ms: int
@@ -78,12 +81,12 @@
 
     Attributes:
         answers: The answer of each listed node.
-        listed_count: How many fronts the settings list.
-        connected_count: How many of them are connected to a node.
-        left_count: How many shut down gracefully.
-        absent_fronts: Those that are neither.
+        listed_count: The number of fronts in the settings.
+        connected_count: The number of these fronts that are connected to a node.
+        left_count: The number of these fronts that shut down gracefully.
+        absent_fronts: The fronts that are not connected and did not shut down gracefully.
         purges: The latest purges, oldest first.
-        latency: From receipt of a purge to its acknowledgement by a front, over all nodes.
+        latency: Time from a node's receipt of a purge to its acknowledgement by a front, over all nodes.
     """
 
     deployment: str
@@ -98,18 +101,18 @@
 
     @property
     def unreachable_nodes(self) -> list[str]:
-        """Nodes that gave no usable status."""
+        """The names of the nodes that returned no usable status."""
         return [answer.name for answer in self.answers if answer.status is None]
 
 
 @dataclass(frozen=True, slots=True)
 class _NodeView:
-    """One node's status in terms of the settings' front numbers.
+    """One node's status with the data to translate its front numbers into positions in the settings.
 
     Attributes:
-        bit_positions: By bit position at the node, the position in the settings; None: not listed there.
-        current_fronts: The set of fronts whose latest incarnation the node knows.
-        front_statuses: The status of each of these, by its position in the settings.
+        bit_positions: The position in the settings for each bit position at the node; None: not listed.
+        current_fronts: The set of fronts whose latest incarnation is the one in this node's status.
+        front_statuses: The status of each of these fronts, by position in the settings.
     """
 
     status: NodeStatus
@@ -118,7 +121,7 @@
     front_statuses: dict[int, FrontStatus]
 
     def to_deployment_set(self, fronts: int) -> int:
-        """Translate a set in the node's bit positions into one in those of the settings."""
+        """Translate a set of fronts from the node's bit positions to positions in the settings."""
         if all(number == position for position, number in enumerate(self.bit_positions)):
             return fronts
         return sum(
@@ -130,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Receipt:
-    """When a node received an event, and when fronts first acknowledged it, in Unix milliseconds."""
+    """The time at which a node received an event, and fronts first acknowledged it, in Unix ms."""
 
     received_unix_ms: int
     connected_fronts: int
@@ -139,7 +142,7 @@
 
 
 def merge(settings: ControlSettings, answers: Iterable[NodeAnswer]) -> DeploymentStatus:
-    """Merge the answers of the nodes; a status of another deployment or node counts as none."""
+    """Merge the answers of the nodes; a status of another deployment or another node is ignored."""
     checked = tuple(_validate_answer(settings, answer) for answer in answers)
     names = [front for region in settings.regions for front in region.fronts]
     views = _node_views(names, [answer.status for answer in checked if answer.status])
@@ -165,9 +168,9 @@
 def _validate_answer(settings: ControlSettings, answer: NodeAnswer) -> NodeAnswer:
     status = answer.status
     if status and status.deployment != settings.deployment:
-        return NodeAnswer(answer.name, None, f"it is of another deployment, {status.deployment!r}")
+        return NodeAnswer(answer.name, None, f"the status is of another deployment, {status.deployment!r}")
     if status and status.node != answer.name:
-        return NodeAnswer(answer.name, None, f"it is another node, {status.node!r}")
+        return NodeAnswer(answer.name, None, f"the status is of another node, {status.node!r}")
     return answer
 
 
@@ -191,7 +194,7 @@
 
 
 def _connected_and_left(views: Iterable[_NodeView]) -> tuple[int, int]:
-    """Return the fronts connected to some node, and those that shut down gracefully and are not connected."""
+    """Return the set of fronts connected to any node, and of those that shut down and are not connected."""
     connected = left = 0
     for view in views:
         for number, front in view.front_statuses.items():
@@ -221,7 +224,7 @@
             rows_by_identity.setdefault(purge.identity(view.status.node), []).append((view, purge))
     summaries = []
     for identity, rows in rows_by_identity.items():
-        # A node proves that a front has applied the purge only if it knows the front's latest incarnation.
+        # An acknowledgement counts only at a node that has recorded the front's latest incarnation.
         missing = expected
         for view, purge in rows:
             missing &= view.to_deployment_set(purge.missing_fronts) | ~view.current_fronts
@@ -254,7 +257,8 @@
 def _duration_ms(receipts: Sequence[_Receipt], expected: int) -> int:
     """Return the time from the first receipt to the last front's first acknowledgement.
 
-    Acknowledgements repeated at a node that a front moved to are omitted if the others suffice.
+    A front that reconnects to another node acknowledges earlier events there again. Only acknowledgements by
+    fronts connected since the receipt are used if these cover all expected fronts, else all of them.
     """
     connected_fronts = 0
     for receipt in receipts:
--- a/marbleglade/control/status/node_status.py
+++ b/marbleglade/control/status/node_status.py
@@ -1,6 +1,7 @@
-"""The status of one control node as a typed value and as one JSON line, without I/O.
+"""The status of one control node and its codec as one JSON line, without I/O.
 
-A set of fronts is a bit mask with one bit for each of `fronts`, in their order; in JSON it is hexadecimal.
+Sets of fronts are bit masks with one bit for each entry of `fronts`, in the same order. In JSON they are
+hexadecimal strings.
 """
 
 from __future__ import annotations
@@ -12,10 +13,10 @@
 
 from ...model.watch_event import NEVER
 
-MAX_STATUS_BYTES = 1 << 24  # bytes of one status line
+MAX_STATUS_BYTES = 1 << 24  # maximum length of a status line
 
-# Rows of the JSON line: arrays with the fields in the order in which the encoders below name them. A row that
-# was received may hold anything; the decoders convert each field and raise if it is of another type.
+# Row types of the JSON line: arrays with the fields in the order of the encoders below. A received row may
+# have any content; the decoders convert each field and raise an exception if that is not possible.
 FrontRow = tuple[str, int, int, int, int, int, int, str]
 AcknowledgementsRow = tuple[str, int, int]
 PurgeRow = tuple[int, str, int, int, int, int, str, str, int, int]
@@ -23,7 +24,7 @@
 
 
 class StatusContent(TypedDict):
-    """The JSON object of a status line, fields as in `NodeStatus`."""
+    """The JSON object of a status line, with the content of a `NodeStatus`."""
 
     deployment: str
     node: str
@@ -40,12 +41,12 @@
 
 
 class InvalidStatusError(Exception):
-    """A line that is not the status of a control node."""
+    """Raised for a line that is not a valid status of a control node."""
 
 
 @dataclass(frozen=True, slots=True)
 class FrontStatus:
-    """The state of one front's present incarnation at a node; `start_ms` 0: it never connected to it."""
+    """The state of a front's latest incarnation at a node; `start_ms` 0: the front never connected there."""
 
     name: str
     start_ms: int
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeIdentity:
-    """The identity of a purge across nodes; `node` is empty unless its time could not be read."""
+    """The identity of a purge across nodes; `node` is set only for a purge without a readable time."""
 
     object_id: int
     group: int
@@ -69,12 +70,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstAcknowledgementsStatus:
-    """When fronts first acknowledged an event, in milliseconds from its receipt by the node.
+    """The first acknowledgement of one event by each front, with latencies since the node received it.
 
     Attributes:
-        connected_fronts: Fronts that acknowledged it and were connected to the node ever since the receipt.
-        connected_latency_ms: The latest first acknowledgement among these.
-        all_latency_ms: The latest first acknowledgement of any front.
+        connected_fronts: Fronts that acknowledged the event and were connected since its receipt.
+        connected_latency_ms: The longest latency among these fronts.
+        all_latency_ms: The longest latency among all fronts.
     """
 
     connected_fronts: int = 0
@@ -96,7 +97,7 @@
     acknowledgements: FirstAcknowledgementsStatus
 
     def identity(self, node: str) -> PurgeIdentity:
-        """Return its identity across nodes; without a time it never equals that of another node."""
+        """Return the identity across nodes; a purge without a readable time differs at each node."""
         return PurgeIdentity(
             self.object_id,
             0 if self.object_id else self.group,
@@ -107,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationStatus:
-    """The newest configuration version of a node, with times as in `PurgeStatus`; version 0: none."""
+    """The newest configuration version of a node, with fields as in `PurgeStatus`; version 0: none."""
 
     version: int
     received_unix_ms: int
@@ -119,12 +120,12 @@
     """The status of one control node.
 
     Attributes:
-        last_index: The number of the last event of its stream.
+        last_index: The number of the last event in the node's stream.
         current: The discovery service's last heartbeat is recent, and all events up to it were received.
         discovery_age_ms: The age of that heartbeat; None: none was received yet.
         fronts: The listed fronts, in the order of the bits.
         purges: The latest purges, oldest first.
-        latency: Counts of the histogram of latencies from receipt of a purge to its acknowledgement.
+        latency: Bucket counts of a `LatencyHistogram`, from the receipt of a purge to its acknowledgement.
         counters: The node's counters.
     """
 
@@ -221,7 +222,7 @@
             counters={str(name): int(count) for name, count in content["counters"].items()},
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise InvalidStatusError(f"not the status of a control node: {bytes(line[:80])!r}") from error
+        raise InvalidStatusError(f"not a valid status of a control node: {bytes(line[:80])!r}") from error
 
 
 def _decode_front(row: FrontRow) -> FrontStatus:
--- a/marbleglade/control/status/query.py
+++ b/marbleglade/control/status/query.py
@@ -1,4 +1,4 @@
-"""Concurrent status queries to all control nodes."""
+"""Queries the status of all control nodes concurrently."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def query_all(settings: ControlSettings, timeout: float) -> list[NodeAnswer]:
-    """Query each node of the settings, with `timeout` seconds to answer; answers are in their order."""
+    """Query all nodes, each with a timeout in seconds; the answers have the order of the settings."""
     greenlets = [gevent.spawn(_query, node, timeout) for node in settings.nodes]
     gevent.joinall(greenlets)
     return [greenlet.value for greenlet in greenlets]
@@ -33,8 +33,8 @@
         while not answer.endswith(b"\n"):
             data = sock.recv(1 << 16)
             if not data:
-                raise InvalidStatusError("the connection ended before the status did")
+                raise InvalidStatusError("the connection ended before the status line was complete")
             answer += data
             if len(answer) > MAX_STATUS_BYTES:
-                raise InvalidStatusError(f"a status of more than {MAX_STATUS_BYTES} bytes")
+                raise InvalidStatusError(f"the status line is longer than {MAX_STATUS_BYTES} bytes")
         return bytes(answer)
--- a/marbleglade/control/status/report.py
+++ b/marbleglade/control/status/report.py
@@ -1,4 +1,4 @@
-"""Builds the status of a node from its log and its acknowledgements, without I/O."""
+"""Builds the status of a node from its event log, acknowledgements and counters, without I/O."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     Args:
         deployment: Name of the deployment.
         node: Name of the node.
-        started_ms: When it started, in Unix milliseconds.
-        log: Its log.
-        confirmation: The acknowledgements of fronts.
-        counters: Its counters.
+        started_ms: Start time of the node, in Unix milliseconds.
+        log: The event log of the node.
+        confirmation: The state and acknowledgements of fronts.
+        counters: The counters of the node.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self.counters = counters
 
     def build(self, discovery_age_ns: int | None, current: bool) -> NodeStatus:
-        """Build the status; `discovery_age_ns` is the time since the discovery service's last heartbeat."""
+        """Build the status from the age of the last discovery heartbeat and whether it is recent enough."""
         newest = self.confirmation.configuration
         return NodeStatus(
             deployment=self.deployment,
