--- a/tests/control/events/stream_reader.py
+++ b/tests/control/events/stream_reader.py
@@ -1,4 +1,4 @@
-"""What a front reads of the event stream of a control node, and sessions that write it, without I/O."""
+"""A reader that checks the event stream of a control node, and helpers for logs and sessions, without I/O."""
 
 from marbleglade.control.events.endpoint_table import EndpointTable
 from marbleglade.control.events.event_log import EventLog
@@ -7,37 +7,37 @@
 from marbleglade.model.upstream import UpstreamState
 from marbleglade.model.watch_event import Endpoint, EndpointListChange, Heartbeat, Purge
 
-RATE = 6144  # bytes a second
+RATE_BYTES_PER_S = 6144
 
 
 def endpoint(name, state=UpstreamState.ACTIVE, cell=0):
     return Endpoint(name, ("10.0.0.1", 8080), "zone", "edge", cell, state, 5)
 
 
-def listed(*endpoints, complete=False, unreadable=()):
+def list_change(*endpoints, complete=False, unreadable=()):
     return EndpointListChange(0, complete, list(endpoints), list(unreadable))
 
 
 class Reader:
-    """The state that a front has of the stream; checks the numbers."""
+    """Builds the state that results from a stream, as a front does, and checks the event numbers."""
 
     def __init__(self, last=0, snapshot_to=0):
-        self.last, self.snapshot_to = (0 if snapshot_to else last), snapshot_to
+        self.last_index, self.snapshot_to = (0 if snapshot_to else last), snapshot_to
         self.endpoints, self.purged, self.configuration = EndpointTable(), {}, None
-        self.count = 0
+        self.line_count = 0
 
     def read(self, data):
         for line in data.splitlines():
             event = decode_stream_line(line)
-            self.count += 1
+            self.line_count += 1
             if isinstance(event, Heartbeat):
-                assert event.index == self.last
+                assert event.index == self.last_index
                 continue
-            if self.last < self.snapshot_to:
-                assert self.last < event.index <= self.snapshot_to
+            if self.last_index < self.snapshot_to:
+                assert self.last_index < event.index <= self.snapshot_to
             else:
-                assert event.index == self.last + 1
-            self.last = event.index
+                assert event.index == self.last_index + 1
+            self.last_index = event.index
             self._apply(event)
 
     def _apply(self, event):
@@ -57,26 +57,26 @@
         return self.endpoints.endpoints, self.purged, self.configuration
 
 
-def follow(log, last=None, rate=RATE):
-    """A session of a front that has the stream up to `last`, and a reader for it."""
-    session = Session(log, rate)
+def start_session(log, last=None, rate_bytes_per_s=RATE_BYTES_PER_S):
+    """Start a session for a front that has the events up to `last`; return it and a reader."""
+    session = Session(log, rate_bytes_per_s)
     return session, Reader(last or 0, session.start_for_front(last))
 
 
-def drain(session, reader, now=0):
-    """All that a session sends to who reads at once; gives the time that it took."""
-    begun = now
+def send_all(session, reader, now=0):
+    """Pass all data of a session to a reader without delay; return the time it takes, in nanoseconds."""
+    started_at = now
     while (wait := session.time_until_ready(now)) is not None:
         now += wait
         if batch := session.next_batch(now):
             session.record_written(batch, len(batch))
             reader.read(batch)
-    return now - begun
+    return now - started_at
 
 
-def filled(count):
+def log_with_purges(count):
     log = EventLog("s")
-    log.append_list(listed(endpoint("a"), complete=True))
+    log.append_list(list_change(endpoint("a"), complete=True))
     for number in range(count):
         log.append_purge(Purge(0, number + 1, 0, number + 1))
     return log
--- a/tests/control/events/test_confirmation.py
+++ b/tests/control/events/test_confirmation.py
@@ -1,4 +1,4 @@
-"""Which purges one control node tracks, and which fronts it counts as missing them."""
+"""The purges that one control node tracks, and the fronts that it counts as missing them."""
 
 import pytest
 
@@ -13,12 +13,12 @@
 
 
 def missing_by_purge(confirmation):
-    """By the index of each purge, the fronts that count and miss it."""
+    """Return by purge index the set of fronts that miss the purge and did not shut down gracefully."""
     sets = zip(confirmation.purges, confirmation.missing_fronts(), strict=True)
     return {purge.index: fronts & ~confirmation.left_fronts for purge, fronts in sets}
 
 
-def test_a_front_has_applied_what_it_acknowledged_and_no_event_more():
+def test_a_front_has_applied_only_the_events_up_to_its_acknowledgement():
     confirmation = ConfirmationTracker(["f1", "f2"])
     add_purges(confirmation, 1, 2, 3)
     assert set(missing_by_purge(confirmation).values()) == {3}, (
--- a/tests/control/events/test_confirmation_states.py
+++ b/tests/control/events/test_confirmation_states.py
@@ -1,4 +1,4 @@
-"""Confirmation across several control nodes as a state machine."""
+"""A purge is confirmed across several control nodes only if each front has applied it: a state machine."""
 
 import os
 
@@ -34,36 +34,36 @@
 
 
 class ControlPlane(RuleBasedStateMachine):
-    """Nodes, fronts and a discovery service, whose messages are delivered only by rules."""
+    """Nodes, fronts and a discovery service; only rules deliver messages between them."""
 
     @initialize()
-    def begin(self):
+    def start_model(self):
         self.sink = os.open(os.devnull, os.O_WRONLY)
-        self.now, self.started = SECOND_NS, 0
+        self.now, self.start_count = SECOND_NS, 0
         self.discovery = DiscoveryService()
         self.discovery.publish(EndpointListChange(0, True, [endpoint("a"), endpoint("b")]))
         self.nodes = {name: Node(name, self.discovery, self.sink) for name in NODES}
         for node in self.nodes.values():
             node.receive_all()
-        self.fronts, self.all_processes, self.purges = {}, {}, []
-        # By node: the last start that it knows of each front, and whether that one left.
-        self.known = {name: {} for name in NODES}
+        self.fronts, self.all_incarnations, self.purges = {}, {}, []
+        # By node and front: the start of the last incarnation at the node, and whether it left.
+        self.last_starts = {name: {} for name in NODES}
         for name in FRONTS:
             self.start_front(name)
 
     def start_front(self, name):
-        self.started += 1
-        self.fronts[name] = FrontIncarnation(name, self.started)
-        self.all_processes[name, self.started] = self.fronts[name]
+        self.start_count += 1
+        self.fronts[name] = FrontIncarnation(name, self.start_count)
+        self.all_incarnations[name, self.start_count] = self.fronts[name]
 
-    def links(self):
-        return [link for name in NODES for link in self.nodes[name].links.values()]
+    def connections(self):
+        return [connection for name in NODES for connection in self.nodes[name].connections.values()]
 
-    def pick(self, data):
-        links = self.links()
-        return data.draw(st.sampled_from(range(len(links)))) if links else None
+    def draw_connection_index(self, data):
+        connections = self.connections()
+        return data.draw(st.sampled_from(range(len(connections)))) if connections else None
 
-    # What the discovery service does.
+    # Rules of the discovery service.
 
     @rule(object_id=st.integers(1, 4))
     def purge(self, object_id):
@@ -80,10 +80,10 @@
         self.discovery.publish(EndpointListChange(0, False, [endpoint(name, state)]))
 
     @rule()
-    def discovery_restarts(self):
+    def restart_discovery(self):
         self.discovery.restart()
 
-    # What nodes do.
+    # Rules of nodes.
 
     @rule(name=node_names, count=st.integers(1, 4))
     def receive(self, name, count):
@@ -91,128 +91,133 @@
             self.nodes[name].receive()
 
     @rule(name=node_names)
-    def node_restarts(self, name):
+    def restart_node(self, name):
         node = self.nodes[name]
-        for link in list(node.links.values()):
-            link.process.connections.pop(name, None)
-        self.known[name].clear()
+        for connection in list(node.connections.values()):
+            connection.incarnation.connections.pop(name, None)
+        self.last_starts[name].clear()
         node.start()
         node.receive_all()
 
-    # What fronts do.
+    # Rules of fronts and connections.
 
     @rule(front=front_names, name=node_names)
     def connect(self, front, name):
-        process = self.fronts[front]
-        if name in process.connections:
+        incarnation = self.fronts[front]
+        if name in incarnation.connections:
             return
-        self.nodes[name].connect(process)
-        self.known[name][front] = process.start_ms, False
+        self.nodes[name].connect(incarnation)
+        self.last_starts[name][front] = incarnation.start_ms, False
 
     @rule(front=front_names)
-    def restart(self, front):
-        """The old connections stay, with the messages in flight on them, until the node notices."""
+    def restart_front(self, front):
+        """Start a new incarnation; old connections and their messages remain until the node closes them."""
         self.start_front(front)
 
     @rule(data=st.data(), count=st.integers(1, 9))
     def exchange(self, data, count):
-        """One connection makes some steps; each may be left out."""
-        chosen = self.pick(data)
-        if chosen is None:
+        """Execute random steps of one connection."""
+        index = self.draw_connection_index(data)
+        if index is None:
             return
-        link = self.links()[chosen]
+        connection = self.connections()[index]
         steps = data.draw(
             st.lists(st.sampled_from(["send", "apply", "acknowledge", "receive"]), min_size=1, max_size=6)
         )
         self.now += SECOND_NS // 4
         for step in steps:
-            alive = self.fronts[link.process.name] is link.process
+            is_current = self.fronts[connection.incarnation.name] is connection.incarnation
             if step == "send":
-                link.send(self.now)
-            elif step == "apply" and alive:
-                link.apply(count)
-            elif step == "acknowledge" and alive:
-                link.acknowledge()
+                connection.send(self.now)
+            elif step == "apply" and is_current:
+                connection.apply(count)
+            elif step == "acknowledge" and is_current:
+                connection.acknowledge()
             elif step == "receive":
-                link.receive(self.now)
+                connection.receive(self.now)
 
     @rule(front=front_names)
     def catch_up(self, front):
-        """A front applies and acknowledges everything, on all of its connections."""
-        for link in list(self.fronts[front].connections.values()):
-            self.deliver_all(link)
+        """Apply and acknowledge all events at a front, on all of its connections."""
+        for connection in list(self.fronts[front].connections.values()):
+            self.deliver_all(connection)
 
     @rule(data=st.data())
-    def cut(self, data):
-        chosen = self.pick(data)
-        if chosen is not None:
-            link = self.links()[chosen]
-            link.node.close(link)
+    def close_connection(self, data):
+        index = self.draw_connection_index(data)
+        if index is not None:
+            connection = self.connections()[index]
+            connection.node.close(connection)
 
     @rule(front=front_names)
     def leave(self, front):
-        process = self.fronts[front]
-        for name, link in list(process.connections.items()):
-            link.node.control.confirmation.record_left(front, link.number)
-            link.node.close(link)
-            self.known[name][front] = process.start_ms, True
+        incarnation = self.fronts[front]
+        for name, connection in list(incarnation.connections.items()):
+            connection.node.control.confirmation.record_left(front, connection.number)
+            connection.node.close(connection)
+            self.last_starts[name][front] = incarnation.start_ms, True
         self.start_front(front)
 
-    @precondition(lambda self: self.links())
-    @rule(data=st.data(), beyond=st.integers(1, 3))
-    def claim_what_was_not_sent(self, data, beyond):
-        link = self.links()[self.pick(data)]
+    @precondition(lambda self: self.connections())
+    @rule(data=st.data(), distance=st.integers(1, 3))
+    def acknowledge_unsent_event(self, data, distance):
+        connection = self.connections()[self.draw_connection_index(data)]
         with pytest.raises(ProtocolError):
-            link.session.accept_applied(EventsApplied(link.session.sent_index + beyond))
+            connection.session.accept_applied(EventsApplied(connection.session.sent_index + distance))
 
-    def deliver_all(self, link):
-        while (wait := link.session.time_until_ready(self.now)) is not None:
+    def deliver_all(self, connection):
+        while (wait := connection.session.time_until_ready(self.now)) is not None:
             self.now += wait
-            link.send(self.now)
-        link.apply(len(link.lines))
-        link.acknowledge()
-        while link.acknowledgements:
-            link.receive(self.now)
+            connection.send(self.now)
+        connection.apply(len(connection.lines))
+        connection.acknowledge()
+        while connection.acknowledgements:
+            connection.receive(self.now)
 
-    # What must hold.
+    # Checks.
 
     def status(self, names=NODES):
         answers = [
-            self.nodes[name].answer() if name in names else NodeAnswer(name, None, "silent") for name in NODES
+            self.nodes[name].answer() if name in names else NodeAnswer(name, None, "no answer")
+            for name in NODES
         ]
         return merge(SETTINGS, answers)
 
-    def counting(self, names):
-        """Yield the last start of each front that these nodes know, or None; fronts that left are omitted."""
+    def expected_incarnations(self, names):
+        """Yield each front that did not leave, with its last incarnation at these nodes or None."""
         for front in FRONTS:
-            starts = [self.known[name][front] for name in names if front in self.known[name]]
+            starts = [self.last_starts[name][front] for name in names if front in self.last_starts[name]]
             start_ms = max((start_ms for start_ms, _ in starts), default=None)
             if (start_ms, True) not in starts:
-                yield front, start_ms and self.all_processes[front, start_ms]
+                yield front, start_ms and self.all_incarnations[front, start_ms]
 
     def check(self, names):
         for summary in self.status(names).purges:
             if summary.missing_fronts.count:
                 continue
             assert summary.duration_ms is not None
-            for front, process in self.counting(names):
-                assert process and process.has(summary.identity), (front, summary)
-                links = [link for name in names for link in self.nodes[name].links.values()]
-                assert any(link.process is process for link in links), f"{front} may have started again"
+            for front, incarnation in self.expected_incarnations(names):
+                assert incarnation and incarnation.has_applied(summary.identity), (front, summary)
+                connections = [
+                    connection for name in names for connection in self.nodes[name].connections.values()
+                ]
+                assert any(connection.incarnation is incarnation for connection in connections), (
+                    f"{front} is not connected and may have restarted"
+                )
 
     @invariant()
-    def nothing_is_confirmed_that_a_front_misses(self):
+    def check_with_all_answers(self):
         self.check(NODES)
 
     @rule(name=node_names)
-    def a_node_is_silent(self, name):
+    def check_without_answer_of_one_node(self, name):
         names = [node for node in NODES if node != name]
         self.check(names)
         assert self.status(names).unreachable_nodes == [name]
 
     @rule()
-    def everything_is_delivered(self):
-        """Every front is connected to two nodes, which have received everything, and has acknowledged it."""
+    def deliver_everything(self):
+        """Connect every front to two nodes; deliver and acknowledge all events."""
         for node in self.nodes.values():
             node.receive_all()
         for front in FRONTS:
@@ -223,19 +228,23 @@
     def teardown(self):
         if not hasattr(self, "nodes"):
             return
-        self.everything_is_delivered()
+        self.deliver_everything()
         status = self.status()
         assert status.connected_count == len(FRONTS) and not status.absent_fronts.count
         for name in NODES[:2]:
             log = self.nodes[name].control.event_log
-            for process in self.fronts.values():
-                assert process.lists[log.stream].endpoints == log.endpoints.endpoints
-        by_first = {purge.identity("c1") for purge in self.nodes["c1"].answer().status.purges}
-        assert all(not purge.missing_fronts.count for purge in status.purges if purge.identity in by_first)
+            for incarnation in self.fronts.values():
+                assert incarnation.lists[log.stream].endpoints == log.endpoints.endpoints
+        tracked_at_first_node = {purge.identity("c1") for purge in self.nodes["c1"].answer().status.purges}
+        assert all(
+            not purge.missing_fronts.count
+            for purge in status.purges
+            if purge.identity in tracked_at_first_node
+        )
         os.close(self.sink)
 
 
-def test_no_purge_is_confirmed_that_a_listed_front_misses():
+def test_no_purge_that_a_listed_front_misses_is_confirmed():
     run_state_machine_as_test(
         ControlPlane,
         settings=settings(
--- a/tests/control/events/test_event_log.py
+++ b/tests/control/events/test_event_log.py
@@ -1,4 +1,4 @@
-"""The event log of a control node: what it retains, and in which order it gives it out, without I/O."""
+"""The event log of a control node: duplicates, retention for deltas, and compaction for snapshots."""
 
 import pytest
 
@@ -7,13 +7,19 @@
 from marbleglade.control.messages import ConfigurationEvent, decode_stream_line
 from marbleglade.model.upstream import UpstreamState
 from marbleglade.model.watch_event import NEVER, EndpointListChange, Purge
-from tests.control.events.stream_reader import RATE, drain, endpoint, follow, listed
+from tests.control.events.stream_reader import (
+    RATE_BYTES_PER_S,
+    endpoint,
+    list_change,
+    send_all,
+    start_session,
+)
 
 
 def test_events_are_decoded_as_they_were_appended():
     log = EventLog("s")
     log.append_list(
-        listed(endpoint("a"), endpoint("b", UpstreamState.DRAINING, 3), complete=True, unreadable=["c"])
+        list_change(endpoint("a"), endpoint("b", UpstreamState.DRAINING, 3), complete=True, unreadable=["c"])
     )
     log.append_purge(Purge(0, 0xABC, 7, 1000))
     log.append_purge(Purge(0, 0, 0, 1001))
@@ -39,8 +45,8 @@
     log = EventLog("s")
     assert log.append_purge(Purge(0, 5, 0, 2000)) and not log.append_purge(Purge(9, 5, 0, 2000))
     assert log.append_purge(Purge(0, 5, 0, 1000)).index == 2
-    session, reader = follow(log)
-    drain(session, reader)
+    session, reader = start_session(log)
+    send_all(session, reader)
     assert reader.purged == {("object", 5): 2000}
 
 
@@ -52,33 +58,33 @@
 
 def test_an_entry_that_turned_unreadable_is_unreadable_in_a_snapshot_too():
     log = EventLog("s")
-    log.append_list(listed(endpoint("a"), complete=True))
-    log.append_list(listed(unreadable=["a"]))
-    session, reader = follow(log)
-    drain(session, reader)
+    log.append_list(list_change(endpoint("a"), complete=True))
+    log.append_list(list_change(unreadable=["a"]))
+    session, reader = start_session(log)
+    send_all(session, reader)
     assert list(reader.endpoints.unreadable) == ["a"] and list(reader.endpoints.endpoints) == ["a"]
-    log.append_list(listed(endpoint("a", UpstreamState.REMOVED)))
+    log.append_list(list_change(endpoint("a", UpstreamState.REMOVED)))
     assert not log.endpoints.unreadable and not log.endpoints.endpoints
 
 
 def test_a_watcher_can_not_resume_after_an_event_beyond_the_retention():
     log = EventLog("s", max_events=8)
-    for number in range(5000):  # more than are freed at once
+    for number in range(5000):  # more than DROPPED_EVENTS_PER_COMPACTION
         log.append_purge(Purge(0, number + 1, 0, number))
     assert log.can_resume_after(4992) and not log.can_resume_after(4991) and not log.can_resume_after(5001)
     assert [entry.index for entry in log.events_after(4992, 1 << 20)] == list(range(4993, 5001))
     assert [entry.index for entry in log.events_after(4992, 1)] == [4993]
     with pytest.raises(FellBehindError):
-        Session(log, RATE).resume_after(4991)
+        Session(log, RATE_BYTES_PER_S).resume_after(4991)
 
 
 def test_purges_evicted_from_the_snapshot_are_covered_by_a_purge_of_all_groups():
     log = EventLog("s", max_events=4, max_purges=600)
     for number in range(1, 1501):
         log.append_purge(Purge(0, number, number % GROUP_COUNT, 10_000 + (7 * number) % 1500))
-    session, reader = follow(log, rate=1 << 24)
-    drain(session, reader)
-    assert reader.count <= 600 + GROUP_COUNT and reader.last == 1500
+    session, reader = start_session(log, rate_bytes_per_s=1 << 24)
+    send_all(session, reader)
+    assert reader.line_count <= 600 + GROUP_COUNT and reader.last_index == 1500
     assert all(
         reader.purged_at(number, number % GROUP_COUNT) >= 10_000 + (7 * number) % 1500
         for number in range(1, 1501)
--- a/tests/control/node/conftest.py
+++ b/tests/control/node/conftest.py
@@ -1,4 +1,4 @@
-"""Control nodes as processes."""
+"""Fixtures for tests that run control nodes as processes."""
 
 import pytest
 
--- a/tests/control/node/control_plane_processes.py
+++ b/tests/control/node/control_plane_processes.py
@@ -1,4 +1,4 @@
-"""Control nodes as processes, with the stand-in discovery service, watchers and fronts on loopback."""
+"""Control nodes as processes, with a test discovery service, watchers and fronts on loopback."""
 
 from functools import partial
 
@@ -14,12 +14,12 @@
 from tests.harness.control_plane import NodeProcesses, control_settings, free_address
 from tests.harness.programs import run_program
 
-WAIT_LIMIT_S = 15  # far above what anything here takes
+WAIT_LIMIT_S = 15  # far longer than any wait in these tests
 wait_until = partial(waiting.wait_until, seconds=WAIT_LIMIT_S, interval=0.02)
 
 
 class Watcher:
-    """A connection to a node: it keeps all lines, and reads them as they arrive unless `reading` is false."""
+    """A connection to a node that records all received lines; with `reading=False` it does not read."""
 
     def __init__(self, address, *requests, reading=True):
         self.sock = socket.create_connection(address)
@@ -53,7 +53,7 @@
         return [line for line in self.lines if not isinstance(line, (Heartbeat, Greeting))]
 
     @property
-    def last(self):
+    def last_index(self):
         return self.events[-1].index if self.events else 0
 
     def purged(self, object_id):
@@ -64,7 +64,7 @@
 
 
 class ControlPlaneProcesses:
-    """A deployment on loopback: discovery in this process, nodes in their own."""
+    """A deployment on loopback: the discovery service in this process, each node in its own process."""
 
     def __init__(self, folder, nodes, fronts):
         self.discovery = DiscoveryService()
@@ -86,7 +86,7 @@
         answers = {answer.name: answer.status for answer in query_all(self.settings, 1.0)}
         return answers[name]
 
-    def count(self, reason, name="c1"):
+    def closed_count(self, reason, name="c1"):
         return self.status(name).counters.get(f"control.closed.{reason}", 0)
 
     def watch(self, *requests, name="c1", **options):
--- a/tests/control/node/test_configuration_versions.py
+++ b/tests/control/node/test_configuration_versions.py
@@ -1,4 +1,4 @@
-"""Configuration versions between their source, a control node and fronts."""
+"""Configuration versions are distributed from their source through a control node to fronts."""
 
 import gevent
 
@@ -9,7 +9,7 @@
 
 
 class ScriptedConfigurationSource:
-    """A source of configuration versions that publishes what a test has it publish."""
+    """A configuration source whose versions are published by the test."""
 
     def __init__(self, version, text):
         self.document = VersionedDocument(version, text)
@@ -43,7 +43,7 @@
         source.publish(4, "fourth")
         source.publish(4, "another fourth")
         source.publish(2, "second")
-        wait_until(lambda: all(watcher.last == 3 for watcher in (plain, first, second)))
+        wait_until(lambda: all(watcher.last_index == 3 for watcher in (plain, first, second)))
         assert first.events[-1] == ConfigurationEvent(3, 4, "fourth") and len(plain.events) == 3
         first.send("configured 3", "configured 4")
         second.send("configured 3", "refused 4 no such cache")
@@ -53,9 +53,9 @@
                 and node.status().fronts[0].configuration_version == 4
             )
         )
-        code, text, _ = plane.command("status")
-        assert code == 1 and "version 4 NOT IN FORCE, lacking 1: f2" in text
-        assert "refused by f2: no such cache" in text
+        exit_code, output, _ = plane.command("status")
+        assert exit_code == 1 and "version 4 NOT IN FORCE, lacking 1: f2" in output
+        assert "refused by f2: no such cache" in output
         second.send("configured 4")
         wait_until(lambda: node.status().fronts[1].configuration_version == 4)
         assert "version 4 in force everywhere" in plane.command("status")[1]
--- a/tests/control/node/test_discovery_replay.py
+++ b/tests/control/node/test_discovery_replay.py
@@ -1,4 +1,4 @@
-"""Replays of the discovery service, as a control node merges them."""
+"""A control node merges the endpoint lists that the discovery service replays."""
 
 import os
 
@@ -15,40 +15,40 @@
 from tests.control.events.stream_reader import endpoint
 
 
-def replayed_sequence():
-    passed, sink = [], os.open(os.devnull, os.O_WRONLY)
+def sequence_with_merger():
+    forwarded, sink = [], os.open(os.devnull, os.O_WRONLY)
     counters = Counters()
     merger = ReplayMerger(
-        lambda purge, live: passed.append((purge.object_id, live)),
-        lambda change: passed.append([endpoint.id for endpoint in change.endpoints]),
-        lambda: passed.append("heartbeat"),
+        lambda purge, live: forwarded.append((purge.object_id, live)),
+        lambda change: forwarded.append([endpoint.id for endpoint in change.endpoints]),
+        lambda: forwarded.append("heartbeat"),
     )
     guard = ErrorGuard(counters, Log("c1", counters, sink=sink))
     sequence = EventSequence(0, merger.callbacks(), guard, accept_restart=True)
-    return sequence, merger, passed
+    return sequence, merger, forwarded
 
 
 def test_replayed_lists_are_forwarded_as_one_and_purges_at_once():
-    sequence, _merger, passed = replayed_sequence()
+    sequence, _merger, forwarded = sequence_with_merger()
     sequence.receive(EndpointListChange(1, True, [endpoint("a")]))
     sequence.receive(Purge(2, 7, 0, 70))
     sequence.receive(EndpointListChange(3, False, [endpoint("b"), endpoint("a", UpstreamState.REMOVED)]))
-    assert passed == [(7, False)]
+    assert forwarded == [(7, False)]
     sequence.receive(Heartbeat(3))
     sequence.receive(EndpointListChange(4, False, [endpoint("c")]))
     sequence.receive(Purge(5, 8, 0, 70))
-    assert passed == [(7, False), ["b"], "heartbeat", ["c"], (8, True)]
+    assert forwarded == [(7, False), ["b"], "heartbeat", ["c"], (8, True)]
 
 
 def test_a_restarted_service_without_a_list_leaves_the_previous_one_in_force():
-    sequence, merger, passed = replayed_sequence()
+    sequence, merger, forwarded = sequence_with_merger()
     sequence.receive(EndpointListChange(1, True, [endpoint("a")]))
     sequence.receive(Heartbeat(1))
     with pytest.raises(InvalidLineError):
         sequence.receive(Heartbeat(0))
     sequence.receive(Heartbeat(0))
-    assert passed == [["a"], "heartbeat", "heartbeat"]
+    assert forwarded == [["a"], "heartbeat", "heartbeat"]
     sequence.receive(EndpointListChange(1, False, [endpoint("b")]))
     sequence.receive(Purge(2, 8, 0, 70))
     sequence.receive(Heartbeat(2))
-    assert passed[3:] == [(8, True), ["b"], "heartbeat"] and merger.replayed_list is None
+    assert forwarded[3:] == [(8, True), ["b"], "heartbeat"] and merger.replayed_list is None
--- a/tests/control/node/test_discovery_restart.py
+++ b/tests/control/node/test_discovery_restart.py
@@ -1,4 +1,4 @@
-"""Control nodes as processes while their discovery service restarts or is away."""
+"""Control node processes while their discovery service restarts or is down."""
 
 from marbleglade.model.watch_event import EndpointListChange, Heartbeat
 from marbleglade.testing.discovery_service import DiscoveryService
@@ -10,20 +10,24 @@
     for number in range(5):
         plane.discovery.purge(number + 1, 0, 100)
     watcher = plane.watch("follow 0")
-    wait_until(lambda: watcher.last == 6)
+    wait_until(lambda: watcher.last_index == 6)
     plane.discovery.restart_numbering()
     plane.discovery.announce_address("box2", ("127.0.0.1", 8001), "edge")
-    plane.discovery.purge(3, 0, 100)  # a duplicate, no new event
-    wait_until(lambda: watcher.last == 7)
+    plane.discovery.purge(3, 0, 100)  # a duplicate, which adds no event
+    wait_until(lambda: watcher.last_index == 7)
     change = watcher.events[-1]
     assert (
         isinstance(change, EndpointListChange)
         and change.complete
-        and [m.id for m in change.endpoints] == ["box2"]
+        and [endpoint.id for endpoint in change.endpoints] == ["box2"]
     )
     plane.discovery.purge(9, 0, 200)
     wait_until(lambda: watcher.purged(9))
-    assert watcher.last == 8 and not watcher.ended and plane.status().counters["discovery.index_restart"] == 1
+    assert (
+        watcher.last_index == 8
+        and not watcher.ended
+        and plane.status().counters["discovery.index_restart"] == 1
+    )
 
 
 def test_a_node_sends_no_heartbeat_without_its_discovery_service(start_plane):
--- a/tests/control/node/test_invalid_input.py
+++ b/tests/control/node/test_invalid_input.py
@@ -1,4 +1,4 @@
-"""Control nodes and their command reject invalid requests, settings, names and addresses."""
+"""Control nodes and the `control` command reject invalid requests, settings, names and addresses."""
 
 from gevent import socket
 
@@ -6,11 +6,11 @@
 from tests.control.node.control_plane_processes import wait_until
 
 
-def test_bad_input_closes_its_own_connection_alone_and_is_counted(start_plane):
+def test_invalid_input_closes_only_its_own_connection_and_is_counted(start_plane):
     plane = start_plane(fronts=2)
-    bystander = plane.front(2)
-    wait_until(lambda: bystander.last == 1)
-    stream = bystander.lines[0].stream
+    unaffected_front = plane.front(2)
+    wait_until(lambda: unaffected_front.last_index == 1)
+    stream = unaffected_front.lines[0].stream
     incomplete = plane.watch()
     incomplete.sock.sendall(b"follow")
     cases = [
@@ -32,33 +32,33 @@
         watcher = plane.watch(*requests)
         wait_until(lambda watcher=watcher: watcher.ended)
         counted[reason] = counted.get(reason, 0) + 1
-        assert plane.count(reason) == counted[reason], requests
+        assert plane.closed_count(reason) == counted[reason], requests
     restarted = plane.front(1, start=5)
-    wait_until(lambda: restarted.last == 1)
+    wait_until(lambda: restarted.last_index == 1)
     restarted.send("applied 1", "applied 0")
-    wait_until(lambda: restarted.ended and plane.count("applied_back") == 1)
-    endless = plane.watch()
-    endless.sock.sendall(b"a" * (MAX_REQUEST_LINE_BYTES + 1))
-    wait_until(lambda: endless.ended and plane.count("long_line") == 2)
-    wait_until(lambda: incomplete.ended and plane.count("idle") == 1)
+    wait_until(lambda: restarted.ended and plane.closed_count("applied_back") == 1)
+    unterminated = plane.watch()
+    unterminated.sock.sendall(b"a" * (MAX_REQUEST_LINE_BYTES + 1))
+    wait_until(lambda: unterminated.ended and plane.closed_count("long_line") == 2)
+    wait_until(lambda: incomplete.ended and plane.closed_count("idle") == 1)
     plane.discovery.purge(5, 0, 5)
-    wait_until(lambda: bystander.purged(5))
+    wait_until(lambda: unaffected_front.purged(5))
     log = plane.processes.log("c1").path.read_text()
     assert all(f'"{reason}"' in log for reason in counted) and '"exception"' not in log
 
 
-def test_the_command_rejects_invalid_settings_names_and_addresses(start_plane):
+def test_the_control_command_rejects_invalid_settings_names_and_addresses(start_plane):
     plane = start_plane(running=False)
-    code, text, _ = plane.command("check")
-    assert code == 0 and "deployment test" in text
+    exit_code, output, _ = plane.command("check")
+    assert exit_code == 0 and "deployment test" in output
     assert plane.command("run", "--name", "c9")[0] == 2
     with socket.socket() as bound:
         bound.bind(plane.addresses["c1"])
         bound.listen(1)
-        code, _, errors = plane.command("run", "--name", "c1")
-        assert code == 2 and "node c1" in errors
-    code, text, _ = plane.command("status", "--timeout", "0.5")
-    assert code == 1 and "NO ANSWER" in text
+        exit_code, _, errors = plane.command("run", "--name", "c1")
+        assert exit_code == 2 and "node c1" in errors
+    exit_code, output, _ = plane.command("status", "--timeout", "0.5")
+    assert exit_code == 1 and "NO ANSWER" in output
     plane.path.write_text('deployment: "test"\nsurplus: 1\n')
-    code, _, errors = plane.command("check")
-    assert code == 2 and "surplus" in errors and len(errors.splitlines()) == 1
+    exit_code, _, errors = plane.command("check")
+    assert exit_code == 2 and "surplus" in errors and len(errors.splitlines()) == 1
--- a/tests/control/node/test_load_view_service.py
+++ b/tests/control/node/test_load_view_service.py
@@ -1,4 +1,4 @@
-"""Load reports of fronts at a control node, and the views that answer them."""
+"""A control node answers the load reports of fronts with aggregated load views."""
 
 import pytest
 from click.testing import CliRunner
@@ -16,8 +16,8 @@
 from tests.fleet.load_reports import front_report
 
 
-def read_settings(tmp_path, further_settings: str = "") -> ControlSettings:
-    """Read settings of two nodes and four fronts."""
+def read_settings(tmp_path, additional_settings: str = "") -> ControlSettings:
+    """Read settings with two nodes and four fronts."""
     nodes = "".join(
         f'node {{ name: "c{number}" region: "r" zone: "z{number}" address: "127.0.0.1:{9000 + number}" '
         f'quorum_address: "127.0.0.1:{9100 + number}" }}\n'
@@ -25,7 +25,7 @@
     )
     region = 'region { name: "r" discovery: "127.0.0.1:1" front: "f[0-3]" }'
     path = tmp_path / "control.textproto"
-    path.write_text(f'deployment: "d" {further_settings} {region}\n{nodes}')
+    path.write_text(f'deployment: "d" {additional_settings} {region}\n{nodes}')
     return read(str(path))
 
 
@@ -39,13 +39,13 @@
     return create_service(read_settings(tmp_path, "view_period_ms: 500"))
 
 
-def test_a_report_is_answered_with_the_view(service):
+def test_a_report_is_answered_with_the_aggregated_view(service):
     view = fleet_datagrams.decode(service.handle_report("f2", fleet_datagrams.encode(front_report(2))))
     assert view.fronts == 1
     assert view.zone_loads[2].prober == 2
 
 
-def test_a_flood_of_reports_is_counted_and_not_answered(service):
+def test_reports_above_the_rate_limit_are_counted_and_not_answered(service):
     assert service.handle_report("f2", fleet_datagrams.encode(front_report(2)))
     answers = [
         service.handle_report("f2", fleet_datagrams.encode(front_report(2, sequence)))
@@ -55,17 +55,17 @@
     assert service.guard.counters.counts["control.report_ignored"] == 48
 
 
-def test_a_node_publishes_its_partial_view_and_reads_that_of_the_other_node(service):
+def test_one_worker_publishes_partial_views_and_one_reads_from_the_other_node(service):
     assert len(list(service.workers(lambda _line: None))) == 2
 
 
 @pytest.mark.parametrize("data", [b"", b"\x01\x08", fleet_datagrams.encode(AggregatedView(1, 1)), b"x" * 300])
-def test_data_that_is_no_report_breaks_the_protocol(service, data):
+def test_data_that_is_not_a_report_raises_a_protocol_error(service, data):
     with pytest.raises(ProtocolError):
         service.handle_report("f2", data)
 
 
-def test_without_a_period_reports_are_ignored_and_no_node_is_dialled(tmp_path):
+def test_without_a_period_reports_are_ignored_and_no_worker_runs(tmp_path):
     service = create_service(read_settings(tmp_path))
     assert service.handle_report("f0", fleet_datagrams.encode(front_report(0))) == b""
     assert not list(service.workers(lambda _line: None))
@@ -78,14 +78,16 @@
 
 
 @pytest.mark.parametrize(
-    "further_settings, expected",
+    "additional_settings, expected",
     [
         ("", "load views: made by fronts among themselves"),
         ("view_period_ms: 250", "made by the nodes every 0.25 s"),
     ],
 )
-def test_the_check_of_the_settings_names_which_nodes_compute_the_view(tmp_path, further_settings, expected):
-    read_settings(tmp_path, further_settings)
+def test_the_check_command_states_whether_nodes_or_fronts_compute_load_views(
+    tmp_path, additional_settings, expected
+):
+    read_settings(tmp_path, additional_settings)
     result = CliRunner().invoke(
         marbleglade_command, ["control", "check", str(tmp_path / "control.textproto")]
     )
@@ -93,7 +95,7 @@
     assert expected in result.output
 
 
-def test_a_view_precedes_queued_events_between_complete_lines_and_a_later_one_replaces_it():
+def test_a_load_view_is_sent_between_complete_lines_and_a_later_one_replaces_it():
     session = Session(EventLog("s"), 6144)
     session.queue_load_view(b"first\n")
     session.queue_load_view(b"second\n")
--- a/tests/control/node/test_node_log.py
+++ b/tests/control/node/test_node_log.py
@@ -6,7 +6,7 @@
 from marbleglade.runtime.counters import Counters
 
 
-def test_a_line_names_the_node_and_no_front(tmp_path):
+def test_a_log_line_has_the_name_of_the_node_and_no_front(tmp_path):
     with (tmp_path / "log").open("wb+") as sink:
         NodeLog("c1", Counters(), sink=sink.fileno()).info("ready", last=4)
         sink.seek(0)
--- a/tests/control/node/test_partial_view.py
+++ b/tests/control/node/test_partial_view.py
@@ -1,4 +1,4 @@
-"""The line on which control nodes exchange partial load views, byte for byte."""
+"""The codec of partial load views between control nodes: exact bytes, and rejection of invalid lines."""
 
 import json
 
@@ -30,7 +30,7 @@
 )
 
 
-def test_a_partial_view_is_encoded_with_the_keys_of_the_wire():
+def test_a_partial_view_is_encoded_as_the_exact_line():
     assert encode_partial_view(VIEW) == LINE
     assert decode_partial_view(LINE) == VIEW
 
@@ -44,7 +44,7 @@
 
 
 @given(partial_views)
-def test_a_partial_view_is_read_as_it_was_written(view):
+def test_a_partial_view_is_decoded_as_it_was_encoded(view):
     line = encode_partial_view(view)
     assert len(line) <= MAX_LINE_BYTES
     assert decode_partial_view(line) == view
@@ -67,7 +67,7 @@
         (b"}", b""),
     ],
 )
-def test_a_line_that_no_node_writes_is_rejected(valid, invalid):
+def test_an_invalid_line_is_rejected(valid, invalid):
     assert valid in LINE
     with pytest.raises(InvalidLineError):
         decode_partial_view(LINE.replace(valid, invalid, 1))
--- a/tests/control/status/test_status_json.py
+++ b/tests/control/status/test_status_json.py
@@ -1,4 +1,4 @@
-"""The bytes of a node's status line and of `control status --json`, which scripts of operators read."""
+"""The exact bytes of a node's status line and of `control status --json`, which operators' scripts parse."""
 
 from marbleglade.cli.control_status import as_json, as_text, is_healthy
 from marbleglade.control.settings import ControlSettings, NodeSettings, RegionSettings
@@ -59,7 +59,7 @@
 )
 
 
-def merged():
+def merged_status():
     return merge(SETTINGS, [NodeAnswer("c1", STATUS), NodeAnswer("c2", None, "no answer")])
 
 
@@ -69,12 +69,12 @@
 
 
 def test_the_json_of_the_status_command_keeps_its_keys():
-    assert as_json(merged()) == JSON
+    assert as_json(merged_status()) == JSON
 
 
-def test_the_text_names_the_front_that_misses_a_purge_and_the_one_that_rejected_a_version():
-    lines = list(as_text(merged()))
+def test_the_text_names_the_fronts_that_miss_a_purge_or_rejected_a_version():
+    lines = list(as_text(merged_status()))
     assert "  NOT DONE object 00000000000000ab of 70, lacking 1: f2" in lines
     assert "configuration: version 2 NOT IN FORCE, lacking 1: f2" in lines
     assert "  refused by f2: no cache" in lines
-    assert not is_healthy(merged(), SETTINGS, 10_000)
+    assert not is_healthy(merged_status(), SETTINGS, 10_000)
--- a/tests/control/status/test_status_merge.py
+++ b/tests/control/status/test_status_merge.py
@@ -1,4 +1,4 @@
-"""The status of a deployment: decoded from lines of its control nodes, and merged."""
+"""The status of a deployment, merged from the statuses of its control nodes."""
 
 import os
 from dataclasses import replace
@@ -10,12 +10,12 @@
 from marbleglade.control.status.merge import NodeAnswer, merge
 from marbleglade.control.status.node_status import InvalidStatusError, decode_status
 from marbleglade.model.watch_event import NEVER, Purge
-from tests.control.events.control_plane_model import FRONTS, NOWHERE, SETTINGS
+from tests.control.events.control_plane_model import FRONTS, SETTINGS, UNUSED_ADDRESS
 from tests.harness.units import SECOND_NS
 
 
-def plane_of(*nodes):
-    """Confirmations of several nodes for the fronts f1 and f2, and their merged status."""
+def create_nodes(*nodes):
+    """Create control nodes without sockets; return them and a function that returns their merged status."""
     controls = [ControlNode(SETTINGS, name, sink=os.open(os.devnull, os.O_WRONLY)) for name in nodes]
 
     def status():
@@ -25,7 +25,7 @@
 
 
 def test_the_duration_excludes_acknowledgements_repeated_at_another_node():
-    (first, second), status = plane_of("c1", "c2")
+    (first, second), status = create_nodes("c1", "c2")
     purge = Purge(1, 7, 0, 70)
     for control in (first, second):
         control.confirmation.add_purge(1, purge, SECOND_NS, 1000, True)
@@ -39,7 +39,7 @@
 
 
 def test_a_restarted_node_that_received_a_purge_in_a_replay_does_not_change_its_duration():
-    (first, second), status = plane_of("c1", "c2")
+    (first, second), status = create_nodes("c1", "c2")
     purge = Purge(1, 7, 0, 70)
     first.confirmation.add_purge(1, purge, SECOND_NS, 1000, True)
     second.confirmation.add_purge(1, purge, 90 * SECOND_NS, 90_000, False)
@@ -52,7 +52,7 @@
 
 
 def test_a_configuration_is_merged_by_version_and_rejections_are_named():
-    (first, second), status = plane_of("c1", "c2")
+    (first, second), status = create_nodes("c1", "c2")
     assert status().configuration.version == 0
     first.confirmation.add_configuration(1, SECOND_NS, 1000)
     first.confirmation.add_configuration(2, SECOND_NS, 1000)
@@ -74,16 +74,21 @@
 
 def test_a_status_of_another_deployment_or_node_is_ignored_and_other_fronts_are_translated():
     other = replace(SETTINGS, deployment="other")
-    swapped = replace(
-        SETTINGS, regions=(RegionSettings("east", NOWHERE, ("f3", "f9", "f1")),)
+    other_fronts = replace(
+        SETTINGS, regions=(RegionSettings("east", UNUSED_ADDRESS, ("f3", "f9", "f1")),)
     )  # f2 is not listed there
     sink = os.open(os.devnull, os.O_WRONLY)
-    foreign, control = ControlNode(other, "c1", sink=sink), ControlNode(swapped, "c2", sink=sink)
+    node_of_other_deployment, control = (
+        ControlNode(other, "c1", sink=sink),
+        ControlNode(other_fronts, "c2", sink=sink),
+    )
     control.confirmation.add_purge(1, Purge(1, 7, 0, 70), SECOND_NS, 1000, True)
     for number, name in enumerate(("f3", "f9", "f1"), 1):
         control.confirmation.record_connected(name, 5, number, 0)
     control.confirmation.record_applied("f3", 1, 1, 2 * SECOND_NS)
-    status = merge(SETTINGS, [NodeAnswer("c1", foreign.status()), NodeAnswer("c2", control.status())])
+    status = merge(
+        SETTINGS, [NodeAnswer("c1", node_of_other_deployment.status()), NodeAnswer("c2", control.status())]
+    )
     assert status.unreachable_nodes == ["c1"] and "another deployment" in status.answers[0].error
     assert status.purges[0].missing_fronts.first_names == ("f1", "f2") and status.connected_count == 2
     renamed = merge(SETTINGS, [NodeAnswer("c3", control.status())])
@@ -91,7 +96,7 @@
 
 
 def test_a_purge_without_a_time_is_a_purge_of_its_own_at_each_node():
-    (first, second), status = plane_of("c1", "c2")
+    (first, second), status = create_nodes("c1", "c2")
     for control in (first, second):
         control.confirmation.add_purge(1, Purge(1, 7, 0, NEVER), SECOND_NS, 1000, True)
     for number, name in enumerate(FRONTS, 1):
@@ -101,6 +106,6 @@
 
 
 @pytest.mark.parametrize("line", [b"", b"[]\n", b"{}\n", b'{"deployment":"x"}\n', b"7\n"])
-def test_a_line_that_is_no_status_is_rejected(line):
+def test_a_line_that_is_not_a_status_is_rejected(line):
     with pytest.raises(InvalidStatusError):
         decode_status(line)
--- a/tests/control/test_messages.py
+++ b/tests/control/test_messages.py
@@ -1,4 +1,4 @@
-"""Lines between control nodes, fronts and operators."""
+"""The codec of the line protocol between control nodes, fronts and operators."""
 
 from contextlib import suppress
 
@@ -32,11 +32,11 @@
 )
 from marbleglade.model.watch_event import EndpointListChange, Heartbeat, Purge
 
-tokens = st.from_regex(r"[A-Za-z0-9._-]{1,64}", fullmatch=True)
+valid_names = st.from_regex(r"[A-Za-z0-9._-]{1,64}", fullmatch=True)
 numbers = st.integers(0, 10**18 - 1)
 reasons = st.lists(st.from_regex(r"\S{1,8}", fullmatch=True), max_size=5).map(" ".join)
 requests = (
-    st.builds(FrontHello, tokens, numbers, tokens)
+    st.builds(FrontHello, valid_names, numbers, valid_names)
     | st.builds(Follow, numbers)
     | st.builds(EventsApplied, numbers)
     | st.builds(ConfigurationApplied, numbers)
@@ -53,13 +53,13 @@
 
 
 @given(st.binary(max_size=80))
-def test_any_bytes_are_a_request_or_rejected(line):
+def test_arbitrary_bytes_are_decoded_as_a_request_or_rejected(line):
     with suppress(InvalidLineError):
         assert decode_request(line) is not None
 
 
 @given(st.binary(max_size=80) | st.text(max_size=80).map(str.encode))
-def test_any_bytes_are_a_line_of_a_stream_or_rejected(line):
+def test_arbitrary_bytes_are_decoded_as_a_stream_line_or_rejected(line):
     with suppress(InvalidLineError):
         assert decode_stream_line(line) is not None
 
@@ -86,18 +86,18 @@
         b"\xff\xfe",
     ],
 )
-def test_lines_that_are_no_requests_are_rejected(line):
+def test_invalid_request_lines_are_rejected(line):
     with pytest.raises(InvalidLineError):
         decode_request(line)
 
 
-def test_a_reason_is_one_line_and_bounded():
+def test_a_rejection_reason_is_encoded_as_one_line_of_bounded_length():
     line = encode_request(ConfigurationRejected(3, "no\nsuch\tcache " + "x" * 1000))
     assert line.count(b"\n") == 1 and len(line) <= MAX_REQUEST_LINE_BYTES
     assert len(decode_request(line).reason) == MAX_REASON_CHARACTERS
 
 
-def test_kinds_of_lines_of_a_stream_are_distinguished():
+def test_each_kind_of_stream_line_is_decoded_as_its_type():
     assert decode_stream_line(b"17\n") == Heartbeat(17)
     greeting = Greeting("test", "c1", "0123456789abcdef", 9)
     assert decode_stream_line(encode_greeting(greeting)) == greeting
@@ -127,22 +127,22 @@
         b'{"index":1,"configuration":{"version":1,"text":"' + b"x" * (MAX_CONFIGURATION_BYTES + 1) + b'"}}',
     ],
 )
-def test_lines_that_no_node_sends_are_rejected(line):
+def test_invalid_stream_lines_are_rejected(line):
     with pytest.raises(InvalidLineError):
         decode_stream_line(line)
 
 
 @given(st.binary(max_size=256))
-def test_load_reports_and_load_views_pass_as_lines(data):
+def test_load_reports_and_load_views_are_decoded_as_they_were_encoded(data):
     assert decode_request(encode_request(LoadReport(data)).strip(b"\n")) == LoadReport(data)
     assert decode_stream_line(encode_load_view(LoadView(data))) == LoadView(data)
 
 
-def test_the_query_for_partial_views_is_one_word():
+def test_the_query_for_partial_views_is_decoded():
     assert decode_request(b"partial-views") == PartialViewsQuery()
 
 
 @pytest.mark.parametrize("line", [b"report x", b"report =", b"report \xff", b"partial-views now"])
-def test_a_request_about_load_views_that_can_not_be_read_is_rejected(line):
+def test_invalid_requests_about_load_views_are_rejected(line):
     with pytest.raises(InvalidLineError):
         decode_request(line)
