--- a/marbleglade/control/node/partial_view.py
+++ b/marbleglade/control/node/partial_view.py
@@ -67,34 +67,32 @@
         circuits: list[CircuitRow] = content["shut"]
         recovered: list[int] = content["answered"]
         view = AggregatedView(NODE_TERM, 0)
-        view.sequence = _checked_integer(content["seq"], MAX_TOTAL)
-        view.fronts = _checked_integer(content["fronts"], MAX_TOTAL)
-        view.load_ms = _checked_integer(content["load"], MAX_TOTAL)
-        view.first_requests = _checked_integer(content["firsts"], MAX_TOTAL)
-        view.retry_cost = _checked_integer(content["furthers"], MAX_TOTAL)
-        view.rejected = _checked_integer(content["pushed"], MAX_TOTAL)
+        view.sequence = _checked_int(content["seq"], MAX_TOTAL)
+        view.fronts = _checked_int(content["fronts"], MAX_TOTAL)
+        view.load_ms = _checked_int(content["load"], MAX_TOTAL)
+        view.first_requests = _checked_int(content["firsts"], MAX_TOTAL)
+        view.retry_cost = _checked_int(content["furthers"], MAX_TOTAL)
+        view.rejected = _checked_int(content["pushed"], MAX_TOTAL)
         view.links = {
-            _checked_integer(link, MAX_LINK): LinkWork(
-                _checked_integer(work_ms, MAX_TOTAL), _checked_integer(duration_ms, MAX_TOTAL)
+            _checked_int(link, MAX_LINK): LinkWork(
+                _checked_int(work_ms, MAX_TOTAL), _checked_int(duration_ms, MAX_TOTAL)
             )
             for link, work_ms, duration_ms in _checked_list(links, MAX_ZONES + FILL_LINK_KEYS)
         }
         view.zone_loads = {
-            _checked_integer(zone, MAX_ZONE): ZoneLoad(
-                _checked_load(load),
-                _checked_integer(age_ms, UNKNOWN_AGE_MS),
-                _checked_integer(prober, MAX_FRONT),
+            _checked_int(zone, MAX_ZONE): ZoneLoad(
+                _checked_load(load), _checked_int(age_ms, UNKNOWN_AGE_MS), _checked_int(prober, MAX_FRONT)
             )
             for zone, load, age_ms, prober in _checked_list(zones, MAX_ZONES)
         }
         view.open_circuits = {
-            _checked_integer(upstream, MAX_UPSTREAM): OpenCircuit(
-                _checked_integer(reporters, MAX_REPORTING_FRONTS), _checked_integer(prober, MAX_FRONT)
+            _checked_int(upstream, MAX_UPSTREAM): OpenCircuit(
+                _checked_int(reporters, MAX_REPORTING_FRONTS), _checked_int(prober, MAX_FRONT)
             )
             for upstream, reporters, prober in _checked_list(circuits, MAX_OPEN_CIRCUITS)
         }
         view.recovered = [
-            _checked_integer(upstream, MAX_UPSTREAM) for upstream in _checked_list(recovered, MAX_RECOVERED)
+            _checked_int(upstream, MAX_UPSTREAM) for upstream in _checked_list(recovered, MAX_RECOVERED)
         ]
         return view
     except (ValueError, KeyError, TypeError) as error:
@@ -107,7 +105,7 @@
     return rows
 
 
-def _checked_integer(value: int, maximum: int) -> int:
+def _checked_int(value: int, maximum: int) -> int:
     if type(value) is not int or not 0 <= value <= maximum:
         raise ValueError(f"{value!r} is not an integer from 0 to {maximum}")
     return value
