--- a/marbleglade/gateway/link/connection.py
+++ b/marbleglade/gateway/link/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a link: reads messages, writes the send queue, and ends when the other side is silent."""
+"""One connection of a link: reads messages, writes the send queue, and closes when the peer is silent."""
 
 from __future__ import annotations
 
@@ -17,39 +17,39 @@
 from .frames import InvalidLinkFrameError, LinkFrameDecoder, encode, encode_chunk
 from .messages import FRAME_FIELDS, CreditGrant, Heartbeat, Hello, LinkMessage
 
-MAX_SEND_BUFFER_BYTES = 4 * MAX_CHUNK_BYTES  # in the system's send buffer; an urgent frame waits for no more
-CONNECTION_WINDOW_BYTES = 64 * MAX_CHUNK_BYTES  # of bodies in flight on one connection, at most
-INITIAL_CREDIT_BYTES = MAX_CHUNK_BYTES  # of one body, before any credit is granted
-DELAY_TARGET_DIVISOR = 4  # the accepted queueing delay is this part of the silence timeout
-# Bytes received from which on credit is returned: at once, if the sender may wait for it (else with the next
-# frame); and at once in any case.
+MAX_SEND_BUFFER_BYTES = 4 * MAX_CHUNK_BYTES  # unsent in the kernel's buffer, ahead of any control frame
+CONNECTION_WINDOW_BYTES = 64 * MAX_CHUNK_BYTES  # the most bytes of bodies in flight on one connection
+INITIAL_CREDIT_BYTES = MAX_CHUNK_BYTES  # of one body, which may be sent before credit is granted
+DELAY_TARGET_DIVISOR = 4  # the accepted queueing delay is this fraction (1/n) of the silence timeout
+# Received bytes after which credit is returned to the sender. From the first threshold on it is sent at once
+# if the sender may be waiting for it, else with the next frame; from the second on it is always sent at once.
 CREDIT_URGENT_BYTES = MAX_CHUNK_BYTES // 4
 CREDIT_BATCH_BYTES = 4 * MAX_CHUNK_BYTES
-CLOSE_POLLS = 32  # looks at the send queue within the silence timeout, while a connection is closed
+CLOSE_POLLS_PER_TIMEOUT = 32  # checks of the send queue per silence timeout, before a connection is closed
 
-# The handler of each type of message; an exception that it raises ends the connection.
+# The handler of each type of message; an exception raised by a handler closes the connection.
 MessageHandlers = Mapping[type[LinkMessage], Callable[..., None]]
 
 
 class LinkConnection:
-    """One connection between two gateways, whichever side opened it.
+    """One connection between two gateways; used by both the side that opened it and the one that accepted it.
 
-    It ends when nothing is received for the silence timeout, or nothing can be written for twice that time.
-    Time for which this process itself was delayed does not count as silence.
+    The connection is closed when nothing is received for the silence timeout, or nothing can be written for
+    twice that time. Time for which this process itself was delayed does not count as silence.
 
     Args:
         sock: The connected socket.
-        silence_timeout_ns: The silence timeout.
-        guard: Has the log and the counters; records exceptions.
+        silence_timeout_ns: The silence timeout, ns.
+        guard: Provides the log and the counters; records exceptions.
         loop_monitor: Measures for how long this process was delayed.
 
     Attributes:
         frames: Decodes the received bytes.
         send_queue: Frames and bodies that wait to be written.
         received_at: When bytes were last received, ns.
-        earliest_arrival: The earliest moment at which the last bytes may have arrived, ns.
-        closed: It has ended.
-        close_reason: Why, for the log.
+        earliest_arrival: The earliest moment at which the last received bytes may have arrived, ns.
+        closed: True once the connection was closed.
+        close_reason: Why the connection was closed, for the log; empty while it is open.
     """
 
     def __init__(
@@ -70,16 +70,16 @@
             CONNECTION_WINDOW_BYTES, INITIAL_CREDIT_BYTES, silence_timeout_ns // DELAY_TARGET_DIVISOR
         )
         self.received_at = clock.now()
-        self._stalled_at_receipt = loop_monitor.total_delay_until(self.received_at)
-        self._progressed_at = self.received_at  # when something was last written, or nothing waited
+        self._total_delay_at_receipt = loop_monitor.total_delay_until(self.received_at)
+        self._flushed_at = self.received_at  # when the send queue was last written completely
         self._arrivals = ArrivalBound(loop_monitor, loop_monitor.last_tick)
         self.earliest_arrival = self.received_at
         self._flushing = False
         self._unwritten = b""
-        self._uncredited_bytes = 0  # bytes of bodies received, for which no credit was returned yet
-        self._ignoring = False
-        self._peer_heartbeat_sent_ns = 0  # Unix time of the peer
-        self._peer_heartbeat_received_ns = 0  # Unix time of this gateway
+        self._uncredited_bytes = 0  # bytes of bodies received for which no credit was returned yet
+        self._ignores_messages = False
+        self._peer_heartbeat_sent_ns = 0  # by the peer's clock, Unix ns; 0: none received
+        self._peer_heartbeat_received_ns = 0  # by this gateway's clock, Unix ns
         self.closed = False
         self.close_reason = ""
         options = [
@@ -89,19 +89,19 @@
         set_options(sock, options, lambda: self._counters.add("link.option_failed"))
 
     def apply_peer_windows(self, hello: Hello) -> None:
-        """Apply the flow-control windows of the other side."""
+        """Limit what is sent to the initial credit and the window that the peer announced."""
         self.send_queue.initial_credit = min(hello.opening, INITIAL_CREDIT_BYTES)
         self.send_queue.send_window.window = min(hello.window, CONNECTION_WINDOW_BYTES)
 
-    # Writing.
+    # Writing
 
     def send(self, message: LinkMessage) -> None:
-        """Queue a message and have it written; without effect on a closed connection."""
+        """Queue a message and schedule a write; without effect on a closed connection."""
         self.send_later(message)
         self._schedule_flush()
 
     def send_later(self, message: LinkMessage) -> None:
-        """Queue a message that may wait until the next one, or the next heartbeat, is written."""
+        """Queue a message to be written together with the next message or heartbeat."""
         if self.closed:
             return
         try:
@@ -115,7 +115,11 @@
         self._schedule_flush()
 
     def send_heartbeat(self, discovery_lost: bool = False) -> None:
-        """Send a heartbeat; `discovery_lost`: this side's discovery is silent, so purges may be missing."""
+        """Send a heartbeat.
+
+        Args:
+            discovery_lost: This region's discovery service is silent, so purges may be missing.
+        """
         self.send(
             Heartbeat(
                 sent_ns=clock.unix_ns(),
@@ -126,11 +130,11 @@
         )
 
     def grant_credit_for(self, size: int, more_expected: bool) -> None:
-        """Return credit to the sender of a body, for several chunks together.
+        """Return credit for received bytes to their sender, for several chunks at a time.
 
         Args:
-            size: Bytes of the body that were received.
-            more_expected: The body is not complete, so that its sender may wait for the credit.
+            size: Bytes of a body that were received.
+            more_expected: The body is incomplete, so that its sender may be waiting for credit.
         """
         self._uncredited_bytes += size
         if self._uncredited_bytes >= (CREDIT_URGENT_BYTES if more_expected else CREDIT_BATCH_BYTES):
@@ -143,30 +147,30 @@
         self._uncredited_bytes = 0
 
     def _schedule_flush(self) -> None:
-        """Have the queue written once the running greenlet waits, so that its messages go out together."""
+        """Schedule a write for when the current greenlet yields, so that its messages go out together."""
         if not self._flushing and not self.closed:
             self._flushing = True
             self._event_loop.run_callback(self._flush)
 
     def _flush(self) -> None:
-        """Write as much as the socket takes at once; a greenlet waits to write the rest."""
+        """Write as much as the socket accepts without blocking; a greenlet writes the rest."""
         try:
             while not self.closed:
-                data = self._gather()
+                data = self._take_next_write()
                 if not data:
                     break
                 sent = send_now(self.sock, data)
                 if sent < len(data):
                     self._unwritten = data[sent:]
                     gevent.spawn(self._write_unwritten)
-                    return  # that greenlet flushes the rest
+                    return  # the greenlet continues the flush
         except OSError:
             self.close("write")
         except Exception as error:
             self._guard.record("link", error)
             self.close("exception")
         self._flushing = False
-        self._progressed_at = clock.now()
+        self._flushed_at = clock.now()
 
     def _write_unwritten(self) -> None:
         try:
@@ -177,32 +181,32 @@
         else:
             self._flush()
 
-    def _gather(self) -> bytes:
-        """Take the bytes of one write from the queue."""
+    def _take_next_write(self) -> bytes:
+        """Remove the frames and chunks of the next write from the queue, and return their bytes."""
         parts: list[bytes | memoryview] = []
         size = 0
         while size < MAX_SEND_BUFFER_BYTES and (item := self.send_queue.next_item(clock.now())):
             if isinstance(item, OutgoingChunk):
-                head, data = encode_chunk(item.number, item.offset, item.data)
-                parts.append(head)
+                header, data = encode_chunk(item.number, item.offset, item.data)
+                parts.append(header)
                 parts.append(data)
-                size += len(head) + len(data)
+                size += len(header) + len(data)
                 self._counters.add("link.chunks")
             else:
                 parts.append(item)
                 size += len(item)
         return b"".join(parts)
 
-    # Reading.
+    # Reading
 
     def read_until_closed(self, handlers: MessageHandlers) -> None:
-        """Pass messages to their handlers until the connection ends; `close_reason` has the reason."""
+        """Pass messages to their handlers until the connection is closed; then `close_reason` is set."""
         try:
             self.sock.settimeout(None)
             for data in read_chunks(self.sock):
                 self.earliest_arrival = self._arrivals.record_read(len(data) < len(READ_BUFFER))
                 self.received_at = clock.now()
-                self._stalled_at_receipt = self._loop_monitor.total_delay_until(self.received_at)
+                self._total_delay_at_receipt = self._loop_monitor.total_delay_until(self.received_at)
                 for message in self.frames.feed(data):
                     self._handle(message, handlers)
                     if self.closed:
@@ -225,30 +229,36 @@
         if isinstance(message, Heartbeat):
             self._peer_heartbeat_sent_ns = message.sent_ns
             self._peer_heartbeat_received_ns = clock.unix_ns()
-        if self._ignoring:
+        if self._ignores_messages:
             return
         handler = handlers.get(type(message))
         if handler is None:
-            raise InvalidLinkFrameError(f"a {FRAME_FIELDS[type(message)]} from the wrong side")
+            raise InvalidLinkFrameError(
+                f"{FRAME_FIELDS[type(message)]} message from the wrong side of the link"
+            )
         handler(message)
 
-    # The end.
+    # Closing
 
     def ignore_messages(self) -> None:
-        """Pass on no further message; for a connection that was refused and is about to be closed."""
-        self._ignoring = True
+        """Drop all further messages; for a connection that was refused and is about to be closed."""
+        self._ignores_messages = True
 
     def check_liveness(self) -> None:
-        """Close the connection if the other side is silent or reads nothing; to be called periodically."""
+        """Close the connection if the peer is silent or does not read; to be called periodically."""
         now = clock.now()
-        stalled = self._loop_monitor.total_delay_until(now) - self._stalled_at_receipt
-        if now - self.received_at - stalled > self._silence_timeout_ns:
+        delayed_ns = self._loop_monitor.total_delay_until(now) - self._total_delay_at_receipt
+        if now - self.received_at - delayed_ns > self._silence_timeout_ns:
             self.close("silent")
-        elif self._unwritten and now - self._progressed_at > 2 * self._silence_timeout_ns:
+        elif self._unwritten and now - self._flushed_at > 2 * self._silence_timeout_ns:
             self.close("stuck")
 
     def close(self, reason: str) -> None:
-        """Close the connection, once; `reason` is logged, and counted up to its first colon."""
+        """Close the connection, once.
+
+        Args:
+            reason: The reason for the log; the part before its first colon is the name of the counter.
+        """
         if self.closed:
             return
         self.closed = True
@@ -257,14 +267,14 @@
         self.sock.close()
 
     def close_after_flush(self) -> None:
-        """Close the connection once all is written, or after the silence timeout."""
+        """Close the connection once the send queue is written, or after the silence timeout."""
         gevent.spawn(self._flush_and_close)
 
     def _flush_and_close(self) -> None:
         timeout_s = self._silence_timeout_ns / SECOND_NS
         with gevent.Timeout(timeout_s, False):
             while not self.closed and self._has_unwritten():
-                gevent.sleep(timeout_s / CLOSE_POLLS)
+                gevent.sleep(timeout_s / CLOSE_POLLS_PER_TIMEOUT)
         self.close("ended")
 
     def _has_unwritten(self) -> bool:
--- a/marbleglade/gateway/link/dialer.py
+++ b/marbleglade/gateway/link/dialer.py
@@ -1,4 +1,4 @@
-"""Keeps the links to another region up: dials, runs each connection, and detaches requests when it ends."""
+"""Connects the links to another region, runs the connections, and detaches requests when one is closed."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 from .messages import Hello
 from .recovery import AwaitLink
 
-BACKOFF_DIVISOR_BITS = 4  # the first pause between two dials is this much below the silence timeout
+MIN_BACKOFF_SHIFT = 4  # the shortest pause between two attempts to connect is the silence timeout / 2**n
 MAX_BACKOFF_DOUBLINGS = 5
-MIN_JITTER = 0.5  # the pause is multiplied by this to this plus one
+MIN_JITTER_FACTOR = 0.5  # the pause is multiplied by a factor from this value to one above it
 
 
 class LinkDialer:
-    """Dials the links of one region and runs their connections.
+    """Connects the links to one region and runs their connections.
 
     Args:
-        region_links: The links.
-        handlers: The handlers by type of message; each takes the link and the message.
+        region_links: The links to the region.
+        handlers: The handlers by type of message; each is called with the link and the message.
     """
 
     def __init__(self, region_links: RegionLinks, handlers: MessageHandlers) -> None:
@@ -43,24 +43,24 @@
         self._jitter_draws = 0
 
     def _next_jitter(self) -> float:
-        """Return a number from 0 to 1, the same ones after each start at the same millisecond."""
+        """Return the next pseudorandom number from 0 to 1; this gateway's start time seeds the sequence."""
         self._jitter_draws += 1
         seed = b"%d %d" % (self._region_links.ends.start_ms, self._jitter_draws)
         return zlib.crc32(seed) / 2**32
 
     def maintain_link(self, link: Link) -> None:
-        """Keep one link connected for as long as the gateway runs."""
+        """Connect one link, and reconnect it after each disconnection, as long as the gateway runs."""
         while True:
             self._region_links.guard.call("link", self._connect, link)
-            # The pause grows up to the silence timeout, so that a region that returns is not flooded.
+            # The pause grows up to the silence timeout, so that a recovering region is not flooded.
             doublings = min(link.dial_attempts, MAX_BACKOFF_DOUBLINGS)
             pause = min(
-                self._silence_timeout_ns, (self._silence_timeout_ns >> BACKOFF_DIVISOR_BITS) << doublings
+                self._silence_timeout_ns, (self._silence_timeout_ns >> MIN_BACKOFF_SHIFT) << doublings
             )
-            gevent.sleep(pause * (MIN_JITTER + self._next_jitter()) / SECOND_NS)
+            gevent.sleep(pause * (MIN_JITTER_FACTOR + self._next_jitter()) / SECOND_NS)
 
     def _connect(self, link: Link) -> None:
-        """Dial once, and run the connection until it ends."""
+        """Try to connect once, and run the connection until it is closed."""
         link.dial_attempts += 1
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -83,7 +83,7 @@
             )
         finally:
             connection.close("ended")
-            self._disconnected(link, connection)
+            self._on_disconnected(link, connection)
 
     def _hello(self, link: Link) -> Hello:
         ends = self._region_links.ends
@@ -100,7 +100,7 @@
             window=CONNECTION_WINDOW_BYTES,
         )
 
-    def _disconnected(self, link: Link, connection: LinkConnection) -> None:
+    def _on_disconnected(self, link: Link, connection: LinkConnection) -> None:
         was_up = link.up
         link.up = False
         link.connection = None
@@ -116,7 +116,7 @@
             self._detach(link, forwarded)
 
     def _detach(self, link: Link, forwarded: ForwardedRequest) -> None:
-        """Have a request wait for the link, or end it, as `recovery` decides."""
+        """Detach a request until the link is up again, or end it, as `recovery` decides."""
         attempt = forwarded.order.attempt
         decision = recovery.result_after_disconnect(
             attempt.request.request_class,
--- a/marbleglade/gateway/link/flow_control.py
+++ b/marbleglade/gateway/link/flow_control.py
@@ -1,7 +1,8 @@
-"""Flow control of a link, without I/O: the order of what is written, and how many bytes may be in flight.
+"""Flow control of a link, without I/O: the order of writes, and how many bytes may be in flight.
 
-Credit is granted for each body and for the connection. Frames without bodies are written first, then chunks
-of the bodies in rotation, so that a long body delays neither a short one nor a purge.
+The receiver grants credit for each body and acknowledges bytes for the connection as a whole. Control frames
+(frames without bodies) are written first, then chunks of the bodies in round-robin order, so that a long body
+delays neither a short one nor a purge.
 """
 
 from __future__ import annotations
@@ -11,33 +12,33 @@
 from typing import NamedTuple
 
 MAX_CHUNK_BYTES = 16_384
-MIN_CHUNK_DIVISOR = 4  # the smallest chunk is this part of the largest
-MAX_QUEUED_BYTES = 1 << 22  # of frames without bodies that wait to be written
-ROUND_TRIP_GROWTH_DIVISOR = 64  # the part by which one slower round trip may raise the base round trip
+MIN_CHUNK_DIVISOR = 4  # the smallest chunk is this fraction (1/n) of the largest
+MAX_QUEUED_BYTES = 1 << 22  # the most bytes of control frames in the send queue
+ROUND_TRIP_GROWTH_DIVISOR = 64  # one slower round trip may raise the shortest one by this fraction (1/n)
 
 
 class FlowControlError(Exception):
-    """The other side exceeded the bounds of a window. The connection has to be closed."""
+    """The peer violated flow control or does not read. The connection has to be closed."""
 
 
 class SendWindow:
-    """The number of bytes of bodies that may be in flight on one connection.
+    """Limits the bytes of bodies in flight on one connection.
 
-    It grows until acknowledgements take `delay_target_ns` longer than the shortest round trip, so that little
-    waits in queues on the way; then it is halved.
+    The limit grows until acknowledgements take `delay_target_ns` longer than the shortest round trip, and is
+    then halved. This keeps queues in the network short.
 
     Args:
-        window: The most bytes in flight.
-        delay_target_ns: The queueing delay that is accepted.
+        window: The upper bound of the limit, bytes.
+        delay_target_ns: The accepted queueing delay, ns.
 
     Attributes:
-        limit: Bytes that may be in flight now.
+        limit: Bytes that may be in flight at present.
         in_flight_bytes: Bytes sent and not acknowledged.
-        unacknowledged: For each chunk the time at which it was sent, ns, and `sent_bytes` after it.
+        unacknowledged: For each unacknowledged chunk, when it was sent, ns, and `sent_bytes` including it.
         sent_bytes: All bytes sent so far.
         acknowledged_bytes: All bytes acknowledged so far.
         reduced_at: When the limit was last halved, ns.
-        min_round_trip_ns: The shortest round trip; it rises slowly with longer ones. 0: none was measured.
+        min_round_trip_ns: The shortest round trip, ns, which rises slowly with longer ones; 0: not measured.
     """
 
     def __init__(self, window: int, delay_target_ns: int) -> None:
@@ -54,7 +55,7 @@
 
     @property
     def chunk_bytes(self) -> int:
-        """The size of the next chunk; small on a slow link, so that heartbeats get through between two."""
+        """The greatest size of the next chunk; small on a slow link, so that heartbeats get in between."""
         return max(MAX_CHUNK_BYTES // MIN_CHUNK_DIVISOR, min(MAX_CHUNK_BYTES, self.limit // 4))
 
     @property
@@ -72,15 +73,15 @@
         """Count bytes that were acknowledged at `now`, ns, and adapt the limit.
 
         Raises:
-            FlowControlError: They are more than are in flight.
+            FlowControlError: More bytes were acknowledged than are in flight, or no bytes.
         """
         if size <= 0 or size > self.in_flight_bytes:
-            raise FlowControlError("credit for what was not sent")
+            raise FlowControlError(f"{size} bytes acknowledged with {self.in_flight_bytes} in flight")
         self.in_flight_bytes -= size
         self.acknowledged_bytes += size
         round_trip = self._round_trip(now)
         if round_trip > self.min_round_trip_ns + self.delay_target_ns:
-            # At most once for each round trip, as the bytes in flight were sent under the same limit.
+            # Reduced at most once per round trip, because all bytes in flight were sent under the same limit.
             if now - self.reduced_at > round_trip:
                 self.limit = max(self.min_limit, self.limit // 2)
                 self.reduced_at = now
@@ -88,7 +89,7 @@
             self.limit = min(self.window, self.limit + size)
 
     def _round_trip(self, now: int) -> int:
-        """Return the round trip of the last chunk that is acknowledged by now, ns; 0 if none is."""
+        """Return the round trip of the last chunk that was newly acknowledged, ns; 0 if there is none."""
         round_trip = 0
         while self.unacknowledged and self.unacknowledged[0][1] <= self.acknowledged_bytes:
             round_trip = now - self.unacknowledged.popleft()[0]
@@ -108,8 +109,8 @@
 
     Attributes:
         data: The whole body.
-        offset: Bytes that were sent, or that the receiver has already.
-        credit: Bytes that may be sent from there.
+        offset: Where the next chunk begins; the bytes before it were sent or need not be sent.
+        credit: Bytes that may be sent from `offset` on.
     """
 
     data: memoryview
@@ -118,12 +119,12 @@
 
 
 class OutgoingChunk(NamedTuple):
-    """A part of a body that is written next.
+    """The chunk of a body that is written next.
 
     Attributes:
         number: The number of the forwarded request.
-        offset: Where in the body it begins.
-        data: Its bytes.
+        offset: Where in the body the chunk begins.
+        data: The bytes of the chunk.
     """
 
     number: int
@@ -132,18 +133,18 @@
 
 
 class SendQueue:
-    """What waits to be written on one connection.
+    """The frames and bodies that wait to be written on one connection.
 
     Args:
         window: The most bytes of bodies in flight.
-        initial_credit: Bytes of a body that may be sent before any credit.
-        delay_target_ns: The queueing delay that is accepted, see `SendWindow`.
-        max_queued_bytes: Bound on frames without bodies.
+        initial_credit: Bytes of a body that may be sent before the receiver grants credit.
+        delay_target_ns: The accepted queueing delay, ns; see `SendWindow`.
+        max_queued_bytes: The most bytes of control frames in the queue.
 
     Attributes:
-        control_frames: Frames without bodies.
-        queued_bytes: Their bytes.
-        bodies: Bodies by the number of their forwarded request; the next one in turn first.
+        control_frames: Frames without bodies, in the order in which they are written.
+        queued_bytes: Bytes of all control frames in the queue.
+        bodies: Bodies by the number of their forwarded request, in the order of their turns.
     """
 
     def __init__(
@@ -161,35 +162,35 @@
         self.bodies: OrderedDict[int, OutgoingBody] = OrderedDict()
 
     def put_frame(self, frame: bytes) -> None:
-        """Queue a frame without a body.
+        """Queue a control frame.
 
         Raises:
-            FlowControlError: Too much waits: the other side does not read.
+            FlowControlError: The queue is full, as the peer does not read.
         """
         if self.queued_bytes + len(frame) > self.max_queued_bytes:
-            raise FlowControlError("too much waits to be written")
+            raise FlowControlError(f"queued control frames exceed {self.max_queued_bytes} bytes")
         self.control_frames.append(frame)
         self.queued_bytes += len(frame)
 
     def put_body(self, number: int, data: bytes, offset: int = 0) -> None:
-        """Queue a body from `offset` on; the frame that announces it was queued before."""
+        """Queue a body from `offset` on; the message that announces it must be queued before."""
         if offset < len(data):
             self.bodies[number] = OutgoingBody(memoryview(data), offset, self.initial_credit)
 
     def remove_body(self, number: int) -> None:
-        """Send no more of a body."""
+        """Remove the rest of a body from the queue."""
         self.bodies.pop(number, None)
 
     def add_credit(self, number: int, size: int, now: int) -> None:
-        """Add credit that came at `now`, ns.
+        """Add credit for a body, or count bytes of the connection as acknowledged.
 
         Args:
             number: The forwarded request whose body gets credit; 0: the connection's bytes are acknowledged.
-            size: Bytes.
-            now: The present moment, ns.
+            size: Bytes of credit, or bytes acknowledged.
+            now: When the credit was received, ns.
 
         Raises:
-            FlowControlError: More was acknowledged than sent.
+            FlowControlError: More bytes were acknowledged than are in flight.
         """
         if not number:
             self.send_window.record_acknowledged(size, now)
@@ -197,7 +198,7 @@
             body.credit = min(body.credit + size, len(body.data))
 
     def next_item(self, now: int) -> bytes | OutgoingChunk | None:
-        """Take the frame or chunk that is written next, at `now`, ns; None while nothing may be written."""
+        """Remove and return the next frame or chunk to write at `now`, ns; None if nothing may be written."""
         if self.control_frames:
             frame = self.control_frames.popleft()
             self.queued_bytes -= len(frame)
@@ -217,22 +218,22 @@
         self.send_window.record_sent(size, now)
         del self.bodies[number]
         if body.offset < len(body.data):
-            self.bodies[number] = body  # its next turn comes after the others
+            self.bodies[number] = body  # moves to the end of the rotation
         return chunk
 
 
 class BodyReceiver:
-    """A body that is being received.
+    """Assembles a body from its chunks, and checks that its sender keeps to the credit.
 
     Args:
         size: Bytes of the whole body.
-        offset: Where the first chunk begins.
-        initial_credit: Bytes that may come before any credit.
-        data: Bytes that are here already; the first `offset` of them count.
+        offset: Where in the body the first chunk begins.
+        initial_credit: Bytes that the sender may send before it is granted credit.
+        data: Bytes received earlier, at least `offset`; only the first `offset` are used.
 
     Attributes:
-        credit_end: Up to where in the body its sender may send.
-        received_bytes: Bytes that are here.
+        credit_end: The offset in the body up to which the sender may send.
+        received_bytes: Bytes of the body received so far, including those before `offset`.
     """
 
     def __init__(self, size: int, offset: int, initial_credit: int, data: bytes = b"") -> None:
@@ -245,11 +246,14 @@
         """Add the next chunk.
 
         Raises:
-            FlowControlError: It does not follow on, exceeds the body or exceeds the credit.
+            FlowControlError: The chunk is empty, is not the next one, or exceeds the body or the credit.
         """
         end = offset + len(data)
         if offset != self.received_bytes or not data or end > self.size or end > self.credit_end:
-            raise FlowControlError("a chunk that does not belong")
+            raise FlowControlError(
+                f"chunk of bytes {offset} to {end} of a body, expected from {self.received_bytes} "
+                f"to at most {min(self.size, self.credit_end)}"
+            )
         self._pieces.append(data)
         self.received_bytes = end
 
@@ -260,11 +264,11 @@
         return granted
 
     def data(self) -> bytes:
-        """Return what has come so far."""
+        """Return the bytes received so far."""
         self._pieces = [b"".join(self._pieces)]
         return self._pieces[0]
 
     @property
     def complete(self) -> bool:
-        """True once the whole body is here."""
+        """True once the whole body was received."""
         return self.received_bytes == self.size
--- a/marbleglade/gateway/link/frames.py
+++ b/marbleglade/gateway/link/frames.py
@@ -1,6 +1,6 @@
-"""Codec of the link's frames, without I/O: protobuf messages behind their length, each checked.
+"""Codec of the link's frames, without I/O: length-prefixed protobuf messages, validated on decoding.
 
-A frame is four bytes of length, the highest first, and a serialized `Frame` of `link.proto`.
+A frame is its length, a 4-byte big-endian integer, followed by a serialized `Frame` of `link.proto`.
 """
 
 from __future__ import annotations
@@ -37,55 +37,58 @@
 )
 
 VERSION = 1
-LENGTH = struct.Struct("!I")
-MAX_FRAME_BYTES = MAX_CHUNK_BYTES + 4096  # room for a chunk and its head, or for any other message
+LENGTH_PREFIX = struct.Struct("!I")
+MAX_FRAME_BYTES = MAX_CHUNK_BYTES + 4096  # enough for a chunk with its header, or for any other message
 MAX_VISITED_REGIONS = 16
 MAX_REFUSAL_CHARACTERS = 200
 MAX_WINDOW_BYTES = 1 << 26
 MAX_TIMEOUT_MS = 3_600_000
-MAX_UNIX_MS = 1 << 46  # far beyond any clock's Unix time
+MAX_UNIX_MS = 1 << 46  # far beyond the Unix time of any clock
 MAX_PART = 1 << 31
 TRACE_PATTERN = re.compile(r"[!-+\--~]{1,64}")
 ENTITY_TAG_PATTERN = re.compile(r"[0-9a-fA-F]{16}")
 
-# Keys (field number and wire type) that `encode_chunk` writes by hand, and the bits of a varint's byte.
-CHUNK_FIELD_KEY = b"\x1a"  # field 3 of `Frame`, which is also the key of field 3 of `Chunk`
-VARINT_PAYLOAD = 0x7F
-VARINT_MORE = 0x80
-VARINT_BITS = 7
+# The field key (field number and wire type) that `encode_chunk` writes itself, and the layout of a varint's
+# byte.
+CHUNK_FIELD_KEY = b"\x1a"  # field 3 of `Frame`, and likewise field 3 of `Chunk`: length-delimited
+VARINT_PAYLOAD_MASK = 0x7F
+VARINT_CONTINUATION_BIT = 0x80
+VARINT_PAYLOAD_BITS = 7
 
 
 class InvalidLinkFrameError(Exception):
-    """A frame that can't be read or is out of place. The connection has to be closed."""
+    """A frame that cannot be decoded, is invalid or is out of order. The connection has to be closed."""
 
 
 def encode(message: LinkMessage) -> bytes:
-    """Return the frame of a message."""
+    """Return a message encoded as a frame."""
     field: dict[str, Any] = {FRAME_FIELDS[type(message)]: message}
     data: bytes = Frame(**field).SerializeToString()
-    return LENGTH.pack(len(data)) + data
+    return LENGTH_PREFIX.pack(len(data)) + data
 
 
-def _varint(value: int) -> bytes:
+def _encode_varint(value: int) -> bytes:
     encoded = bytearray()
-    while value > VARINT_PAYLOAD:
-        encoded.append(value & VARINT_PAYLOAD | VARINT_MORE)
-        value >>= VARINT_BITS
+    while value > VARINT_PAYLOAD_MASK:
+        encoded.append(value & VARINT_PAYLOAD_MASK | VARINT_CONTINUATION_BIT)
+        value >>= VARINT_PAYLOAD_BITS
     encoded.append(value)
     return bytes(encoded)
 
 
 def encode_chunk(number: int, offset: int, data: memoryview) -> tuple[bytes, memoryview]:
-    """Return the frame of a chunk of a body in two parts, so that the body's bytes are not copied.
+    """Encode a chunk of a body as a frame in two parts, header and data, so that the data is not copied.
 
     Args:
         number: The number of the forwarded request.
         offset: Where in the body the chunk begins.
-        data: Its bytes.
+        data: The bytes of the chunk.
     """
-    head = BodyChunk(number=number, at=offset).SerializeToString() + CHUNK_FIELD_KEY + _varint(len(data))
-    head = CHUNK_FIELD_KEY + _varint(len(head) + len(data)) + head
-    return LENGTH.pack(len(head) + len(data)) + head, data
+    header = (
+        BodyChunk(number=number, at=offset).SerializeToString() + CHUNK_FIELD_KEY + _encode_varint(len(data))
+    )
+    header = CHUNK_FIELD_KEY + _encode_varint(len(header) + len(data)) + header
+    return LENGTH_PREFIX.pack(len(header) + len(data)) + header, data
 
 
 def _is_name(text: str) -> bool:
@@ -161,7 +164,8 @@
     return message.index > 0 and message.group < UNKNOWN_GROUP and 0 < message.at_ms < MAX_UNIX_MS
 
 
-CHECKS: dict[type[LinkMessage], Callable[[Any], bool]] = {  # each takes a message of its type
+# For each type of message, a function that returns whether the fields of such a message are valid.
+VALIDATORS: dict[type[LinkMessage], Callable[[Any], bool]] = {
     Hello: _is_valid_hello,
     RequestMessage: _is_valid_request,
     BodyChunk: _is_valid_chunk,
@@ -179,10 +183,11 @@
 
 
 class LinkFrameDecoder:
-    """Decodes a stream of bytes into checked messages.
+    """Decodes a stream of bytes into validated messages.
 
     Attributes:
-        hello_received: The first message has come, which has to be a `Hello` or a `ConnectionRefused`.
+        hello_received: True once the first message was decoded, which must be a `Hello` or a
+            `ConnectionRefused`.
     """
 
     def __init__(self) -> None:
@@ -191,26 +196,26 @@
 
     @property
     def has_partial_frame(self) -> bool:
-        """True while a part of a frame has come."""
+        """True while the buffer holds an incomplete frame."""
         return bool(self._buffer)
 
     def feed(self, data: bytes | memoryview) -> list[LinkMessage]:
-        """Return the messages that are complete with these bytes.
+        """Add received bytes, and return the messages that are complete now.
 
         Raises:
-            InvalidLinkFrameError: One can't be read, is out of bounds or is out of place.
+            InvalidLinkFrameError: A frame cannot be decoded, has an invalid field or is out of order.
         """
         self._buffer += data
         messages: list[LinkMessage] = []
         position = 0
         end = len(self._buffer)
-        while end - position >= LENGTH.size:
-            (size,) = LENGTH.unpack_from(self._buffer, position)
+        while end - position >= LENGTH_PREFIX.size:
+            (size,) = LENGTH_PREFIX.unpack_from(self._buffer, position)
             if not 0 < size <= MAX_FRAME_BYTES:
-                raise InvalidLinkFrameError("a frame too short or too long")
-            if end - position < LENGTH.size + size:
+                raise InvalidLinkFrameError(f"frame of {size} bytes, expected 1 to {MAX_FRAME_BYTES}")
+            if end - position < LENGTH_PREFIX.size + size:
                 break
-            position += LENGTH.size
+            position += LENGTH_PREFIX.size
             messages.append(self._decode(bytes(memoryview(self._buffer)[position : position + size])))
             position += size
         del self._buffer[:position]
@@ -220,18 +225,22 @@
         try:
             frame = Frame.FromString(data)
         except DecodeError as error:
-            raise InvalidLinkFrameError("not a frame") from error
+            raise InvalidLinkFrameError("frame is not a valid protobuf message") from error
         kind = frame.WhichOneof("kind")
         if kind is None:
-            raise InvalidLinkFrameError("a frame of an unknown kind")
+            raise InvalidLinkFrameError("frame contains no message of a known kind")
         message: LinkMessage = getattr(frame, kind)
         is_hello = isinstance(message, Hello)
         may_be_first = is_hello or isinstance(message, ConnectionRefused)
         if is_hello if self.hello_received else not may_be_first:
-            raise InvalidLinkFrameError(f"{kind} where it does not belong")
+            raise InvalidLinkFrameError(
+                f"unexpected {kind} message: hello (or refused) must come first, and hello only once"
+            )
         if isinstance(message, Hello) and message.version != VERSION:
-            raise InvalidLinkFrameError(f"version {message.version}")
-        if not CHECKS[type(message)](message):
-            raise InvalidLinkFrameError(f"a {kind} out of bounds")
+            raise InvalidLinkFrameError(
+                f"protocol version {message.version} is not supported, expected {VERSION}"
+            )
+        if not VALIDATORS[type(message)](message):
+            raise InvalidLinkFrameError(f"{kind} message has a field with an invalid value")
         self.hello_received = True
         return message
--- a/marbleglade/gateway/link/links.py
+++ b/marbleglade/gateway/link/links.py
@@ -1,4 +1,4 @@
-"""The state of a gateway's links to another region, and of the requests that are in flight on them."""
+"""State of a gateway's links to another region, and of the requests in flight on them."""
 
 from __future__ import annotations
 
@@ -23,36 +23,37 @@
 from ..purge_log import PurgeReceiver
 from .connection import LinkConnection
 from .flow_control import BodyReceiver
-from .messages import PurgesComplete, ReceivedPart, ResponseHead, part_of
+from .messages import PurgesComplete, ReceivedPart, ResponseHead, received_part_message
 
 MAX_PURGE_RECORDS = 1 << 14
 
 
-class ObjectKey(NamedTuple):
-    """One part of an object."""
+class ObjectPartKey(NamedTuple):
+    """Identifies one part of an object."""
 
     object_id: int
     part: int
 
 
 class LinkDownError(Exception):
-    """Raised when a link is used while it has no connection."""
+    """Raised when a link is used while it has no connection; the argument is the name of the link."""
 
 
 @dataclass(slots=True, eq=False)
 class ForwardedRequest:
-    """An attempt that is in flight at a gateway of another region.
+    """An attempt that was forwarded to a gateway of another region.
 
     Attributes:
-        number: The number of the forwarded request; it rises over all links to the region.
-        client_request: What is forwarded.
-        order: The policy's order.
+        number: The number of the forwarded request; it rises across all links to the region.
+        client_request: The client's request.
+        order: The policy's order to make the attempt, through which its result is reported.
         deadline: When the attempt times out, ns.
-        partial_body: The part of the response that was stored when the request was forwarded.
-        response_head: The head of the response, once it was received.
-        body_receiver: The body that is being received.
-        reserved_bytes: Bytes of the body budget that are reserved for it.
-        detached_until: While its link is down: until when it waits for the link, ns.
+        partial_body: The part of the response that was already stored when the request was forwarded; None:
+            nothing.
+        response_head: The head of the response; None until it was received.
+        body_receiver: Assembles the response's body; None until its head was received.
+        reserved_bytes: Bytes of the body budget that are reserved for the response.
+        detached_until: The time until which a detached request waits for its link, ns; 0: it is not detached.
     """
 
     number: int
@@ -67,45 +68,46 @@
 
     @property
     def request(self) -> Request:
-        """The request as the policy knows it."""
+        """The policy's state of the request."""
         return self.order.attempt.request
 
     @property
-    def object_key(self) -> ObjectKey:
-        """The part of the object that is requested."""
-        return ObjectKey(self.request.object_id, self.client_request.part)
+    def object_key(self) -> ObjectPartKey:
+        """The requested object and the requested part of it."""
+        return ObjectPartKey(self.request.object_id, self.client_request.part)
 
     @property
     def received_part(self) -> ReceivedPart | None:
-        """The part of the response's body that was received; None if there is nothing."""
+        """The part of the response's body that was received; None if nothing was."""
         receiver = self.body_receiver
         if receiver and receiver.received_bytes and self.response_head:
             head = self.response_head
-            return part_of(head.tag, head.issued_ms, receiver.received_bytes)
+            return received_part_message(head.tag, head.issued_ms, receiver.received_bytes)
         if self.partial_body:
             partial = self.partial_body
-            return part_of(partial.tag, partial.issued_ms, len(partial.data))
+            return received_part_message(partial.tag, partial.issued_ms, len(partial.data))
         return None
 
 
 @dataclass(slots=True, eq=False)
 class Link:
-    """One gateway of the other region, connected or not.
+    """The link to one gateway of the other region, connected or not.
 
     Attributes:
-        name: The gateway's name.
-        address: Where it is reached.
-        upstream: The gateway as an upstream of the policy, once it was listed.
-        start_ms: The incarnation of the gateway: when it started by its own clock, ms; 0: not known.
+        name: The name of the gateway.
+        address: The host and port of the gateway.
+        upstream: The gateway as an upstream of the policy; None until it was listed as one.
+        start_ms: The incarnation of the gateway: when it started by its own clock, ms; 0: unknown.
         purge_index: All purges of that incarnation up to this number were received.
         connection_number: The number of the latest connection.
-        connection: The connection; None while there is none.
-        purges_complete: The message that all earlier purges were sent on this connection; None before it.
-        up: Requests may be forwarded.
-        draining_start_ms: The incarnation that has announced its drain.
-        in_flight: Forwarded requests by their number.
-        detached: Forwarded requests of earlier connections whose status is not known, by their number.
-        clock_offset: The gateway's clock against this one's.
+        connection: The present connection; None while the link is disconnected.
+        purges_complete: The message on this connection that all earlier purges were sent; None until it was
+            received.
+        up: True while requests may be forwarded.
+        draining_start_ms: The latest incarnation of the gateway that has announced its drain; 0: none.
+        in_flight: Forwarded requests on the present connection, by number.
+        detached: Forwarded requests of earlier connections whose status is unknown, by number.
+        clock_offset: The offset of the gateway's clock from the local clock.
         dial_attempts: Attempts to connect since the link was last up.
     """
 
@@ -125,10 +127,10 @@
     dial_attempts: int = 0
 
     def connected(self) -> LinkConnection:
-        """Return the connection.
+        """Return the present connection.
 
         Raises:
-            LinkDownError: There is none.
+            LinkDownError: The link is disconnected.
         """
         if self.connection is None:
             raise LinkDownError(self.name)
@@ -141,9 +143,9 @@
 
     Attributes:
         local_region: The region of this gateway.
-        local_gateway: Its name.
-        start_ms: Its incarnation: when it started, Unix milliseconds.
-        remote_region: The other region.
+        local_gateway: The name of this gateway.
+        start_ms: The incarnation of this gateway: when it started, Unix milliseconds.
+        remote_region: The region that the links lead to.
     """
 
     local_region: str
@@ -153,16 +155,16 @@
 
 
 class RegionListener(Protocol):
-    """Called with the endpoint changes and purges of a region."""
+    """Receives the endpoint changes and the purges of other regions."""
 
     def endpoint_changed(self, region: str, change: EndpointListChange) -> None:
-        """Handle that a gateway of the region is up, or is draining."""
+        """Handle a gateway of the region that has come up or started draining."""
 
     def purge_received(self, purge: Purge) -> None:
-        """Handle a purge in the region; its time is in Unix milliseconds by this gateway's clock."""
+        """Handle a purge of the region; its time is Unix milliseconds by this gateway's clock."""
 
     def purges_missed(self, before_ms: int) -> None:
-        """Handle that purges may be missing: all issued by this Unix millisecond counts as purged."""
+        """Treat all objects issued up to this Unix millisecond as purged, since purges may be missing."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -170,10 +172,10 @@
     """The settings of all links, from the deployment.
 
     Attributes:
-        silence_timeout_ns: After which a silent connection is closed.
-        drift_ppm: The most by which two clocks drift apart, parts in a million.
-        peer_keeps_journal: The other gateways answer status queries after a disconnection, and resume
-            responses.
+        silence_timeout_ns: A connection is closed if nothing is received for this time, ns.
+        drift_ppm: The greatest drift between the clocks of two regions, parts per million.
+        peer_keeps_journal: The gateways of the other regions answer status queries after a disconnection, and
+            resume responses.
     """
 
     silence_timeout_ns: int
@@ -183,13 +185,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionState:
-    """What this gateway knows of another region, and what it keeps for it.
+    """The state that this gateway keeps for another region.
 
     Attributes:
         upstreams: The region's gateways as upstreams of the policy.
-        purge_history: The purges that this gateway knows.
-        partial_bodies: The first bytes of bodies that a disconnection cut off.
-        concurrency_limit: Bounds the requests in flight.
+        purge_history: The purges known to this gateway.
+        partial_bodies: The first bytes of response bodies that were cut off by a disconnection.
+        concurrency_limit: Bounds the requests in flight at the region.
     """
 
     upstreams: UpstreamRegistry
@@ -200,12 +202,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedParts:
-    """What the links to all regions, and the handlers of all regions, share.
+    """Components that are shared by the links and the message handlers of all regions.
 
     Attributes:
-        body_budget: Bytes of bodies in memory.
-        listener: Called with the endpoint changes and purges of other regions.
-        guard: Has the log and the counters; records exceptions.
+        body_budget: Bounds the bytes of bodies in memory.
+        listener: Receives the endpoint changes and purges of other regions.
+        guard: Provides the log and the counters; records exceptions.
         loop_monitor: Measures for how long this process was delayed.
     """
 
@@ -222,13 +224,13 @@
         ends: The two ends of the links.
         gateways: Names and addresses of the region's gateways.
         settings: The settings of the links.
-        state: What is known of the region; its parts are attributes of the same name.
-        shared: What the links to all regions share; its parts are attributes of the same name.
+        state: The state kept for the region; its fields become attributes of the same name.
+        shared: Components shared by all regions; its fields become attributes of the same name.
 
     Attributes:
-        links: One for each gateway.
-        link_by_upstream: Links by the upstream as which the policy knows their gateway.
-        purge_receiver: The region's purges.
+        links: The link to each gateway of the region.
+        link_by_upstream: The links by the upstream that represents their gateway in the policy.
+        purge_receiver: The purges received from the region.
         last_number: The number of the last forwarded request.
     """
 
@@ -260,9 +262,9 @@
         self.last_number = 0
 
     def complete(self, forwarded: ForwardedRequest, result: UpstreamResult) -> None:
-        """End a forwarded request; without effect if it has ended already."""
+        """Report the result of a forwarded request; without effect if it has one already."""
         if forwarded.order.result.ready():
             return  # `Requester._finish` releases the reserved bytes
         if result.response:
-            forwarded.reserved_bytes = 0  # they are released with the response
+            forwarded.reserved_bytes = 0  # the owner of the response releases them
         forwarded.order.result.set(result)
--- a/marbleglade/gateway/link/messages.py
+++ b/marbleglade/gateway/link/messages.py
@@ -1,12 +1,15 @@
-"""The messages of a link under the field's names, and their conversion from and to the gateway's own types.
+"""The messages of a link, and their conversion from and to the gateway's own types.
 
-The schema, `link.proto`, explains each field and keeps the spelling of the wire. Its words, where handlers
-read a field themselves:
+The classes generated from the schema, `link.proto`, are imported here under descriptive names. Their fields
+keep the names of the schema, which describes each of them. Those that handlers use directly are:
 
 - `number`: the forwarded request; `thing`, `part`, `group`: the object; `profile`: the request class.
-- `within_ms`: the time left; `oldest_ms`: the greatest age accepted; `passed`: the regions on the way.
-- `had`: what the requester has of a response already, or whether it has all of it (`CancelMessage`).
-- `word`: how a request ended; `ran`: something may have run; `at`: offset in a body; `check`: its checksum.
+- `within_ms`: the time until the requester's timeout; `oldest_ms`: the greatest age of a cached response;
+  `passed`: the regions that forwarded the request.
+- `had`: the part of a response's body that the requester has received; in a `CancelMessage`, whether it has
+  received the whole response.
+- `word`: the outcome of a request; `ran`: an upstream may have run it; `at`: an offset in a body; `check`:
+  the checksum of a body.
 - `turn`: the number of a connection; `opening`: the initial credit; `window`: the most bytes in flight.
 - `deaf`: the sender's discovery service is silent, so purges may be missing.
 """
@@ -56,8 +59,8 @@
     "StatusQuery",
     "StatusReply",
     "client_request",
-    "part_of",
     "purge_message",
+    "received_part_message",
     "region_purge",
     "request_message",
     "request_status",
@@ -80,7 +83,7 @@
     | DrainNotice
     | ConnectionRefused
 )
-# The field of a frame for each type of message.
+# The field of `Frame` that holds each type of message.
 FRAME_FIELDS: dict[type[LinkMessage], str] = {
     Hello: "hello",
     RequestMessage: "carry",
@@ -96,18 +99,18 @@
     DrainNotice: "leaving",
     ConnectionRefused: "refused",
 }
-OUTCOME_ON_THE_WIRE = {
+WORD_BY_OUTCOME = {
     RequestOutcome.REJECTED: ResponseHead.PUSHED_BACK,
     RequestOutcome.FAILED: ResponseHead.BROKEN_OFF,
 }
 
-STATE_ON_THE_WIRE = {
+STATE_BY_STATUS = {
     RequestStatus.NOT_RECEIVED: StatusReply.NEVER,
     RequestStatus.RUNNING: StatusReply.RUNNING,
     RequestStatus.COMPLETED: StatusReply.ANSWERED,
     RequestStatus.LOST: StatusReply.LOST,
 }
-STATUS_BY_STATE = {state: status for status, state in STATE_ON_THE_WIRE.items()}
+STATUS_BY_STATE = {state: status for status, state in STATE_BY_STATUS.items()}
 
 
 def request_message(
@@ -121,12 +124,12 @@
     """Return the message that forwards a request.
 
     Args:
-        number: The number of the forwarded request, rising on each link.
+        number: The number of the forwarded request; each number is greater than the one before.
         request: The client's request; its body follows in chunks.
-        time_left: For how long the response is waited for, ns.
+        time_left: Time until the attempt times out, ns.
         max_age_ms: Greatest age of a cached response, ms; 0 is `DEFAULT_MAX_AGE`.
-        region: The region that forwards it.
-        partial: The part of the response that an earlier connection received; None: nothing to resume.
+        region: The region that forwards the request.
+        partial: The part of the response that was received before a disconnection; None: nothing to resume.
     """
     message = RequestMessage(
         number=number,
@@ -144,20 +147,20 @@
         mark=request.idempotency_key,
     )
     if partial:
-        message.had.CopyFrom(part_of(partial.tag, partial.issued_ms, len(partial.data)))
+        message.had.CopyFrom(received_part_message(partial.tag, partial.issued_ms, len(partial.data)))
     return message
 
 
 def client_request(
     message: RequestMessage, request_class: RequestClass, body: bytes, received_at: int
 ) -> ClientRequest:
-    """Return a forwarded request as the gateway's handlers take it.
+    """Convert the message of a forwarded request to the request type of the gateway's handlers.
 
     Args:
-        message: The message that forwarded it.
-        request_class: The class that it names.
-        body: Its body, complete.
-        received_at: When it counts as received, ns of the monotonic clock.
+        message: The message that forwarded the request.
+        request_class: The request class named by `message.profile`.
+        body: The complete body of the request.
+        received_at: The time from which the request's timeout is counted, ns of the monotonic clock.
     """
     return ClientRequest(
         tag=message.number,
@@ -178,18 +181,18 @@
     )
 
 
-def part_of(tag: str, issued_ms: int, size: int) -> ReceivedPart:
-    """Return the message that names the first `size` bytes of a response's body, which the requester has."""
+def received_part_message(tag: str, issued_ms: int, size: int) -> ReceivedPart:
+    """Return the message that identifies the `size` bytes of a response's body received so far."""
     return ReceivedPart(tag=tag, issued_ms=issued_ms, bytes=size)
 
 
 def response_head(number: int, response: Response, offset: int = 0) -> ResponseHead:
-    """Return the message that precedes the body of a response; `offset`: where the body's rest begins."""
+    """Return the message that precedes the body of a response, which is sent from `offset` on."""
     if response.outcome is not RequestOutcome.SERVED:
         missing = response.object_missing
         return ResponseHead(
             number=number,
-            word=ResponseHead.LACKING if missing else OUTCOME_ON_THE_WIRE[response.outcome],
+            word=ResponseHead.LACKING if missing else WORD_BY_OUTCOME[response.outcome],
             ran=response.may_have_run,
             pause_ms=response.retry_after // MILLISECOND_NS,
         )
@@ -212,18 +215,18 @@
 
 
 def purge_message(purge: RegionPurge) -> PurgeMessage:
-    """Return the message that passes on a purge."""
+    """Return the message that sends a purge to another region."""
     return PurgeMessage(index=purge.index, thing=purge.object_id, group=purge.group, at_ms=purge.purged_at_ms)
 
 
 def region_purge(message: PurgeMessage) -> RegionPurge:
-    """Return the purge that a message passes on."""
+    """Return the purge of another region from its message."""
     return RegionPurge(message.index, message.thing, message.group, message.at_ms)
 
 
 def status_reply(number: int, status: RequestStatus) -> StatusReply:
-    """Return the message with the status of a request."""
-    return StatusReply(number=number, state=STATE_ON_THE_WIRE[status])
+    """Return the message that reports the status of a request."""
+    return StatusReply(number=number, state=STATE_BY_STATUS[status])
 
 
 def request_status(message: StatusReply) -> RequestStatus:
--- a/marbleglade/gateway/link/recovery.py
+++ b/marbleglade/gateway/link/recovery.py
@@ -1,4 +1,4 @@
-"""Decides how a request continues after a disconnection, and what a response proves. Without I/O."""
+"""Decides how a forwarded request continues after a disconnection or a response. Without I/O."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AwaitLink:
-    """The request stays open; once the link is up its status is queried.
+    """The request stays open, and its status is queried once the link is up.
 
     Attributes:
-        deadline: Until when it waits for the link, ns.
+        deadline: The time until which the request waits for the link, ns.
     """
 
     deadline: int
@@ -27,17 +27,17 @@
 def result_after_disconnect(
     request_class: RequestClass, sent_at: int, now: int, attempt_deadline: int, peer_keeps_journal: bool
 ) -> AttemptResult | AwaitLink:
-    """Return how a request ends whose link was disconnected, or until when it waits for the link.
+    """Return the result of a request whose link was disconnected, or how long it waits for the link.
 
-    An idempotent one waits as long as its latency objective allows, with the time in flight in place of its
-    transfer time. Any other waits as long as it can, since only its status permits a retry.
+    An idempotent request waits as long as its latency objective allows; the time in flight stands in for the
+    transfer time. Any other request waits until its timeout, since only its status can permit a retry.
 
     Args:
-        request_class: Its class.
+        request_class: The class of the request.
         sent_at: When the attempt was sent, ns.
         now: When the link was disconnected, ns.
         attempt_deadline: When the attempt times out, ns.
-        peer_keeps_journal: The other gateway answers status queries.
+        peer_keeps_journal: The other gateway keeps a request journal, so it answers status queries.
     """
     if not peer_keeps_journal:
         return AttemptResult.RESET
@@ -48,21 +48,21 @@
     return AwaitLink(min(attempt_deadline, objective_at))
 
 
-def result_while_sibling_works(request_class: RequestClass) -> AttemptResult | None:
-    """Return how a detached request ends when another link of the region is up; None: it still waits.
+def result_while_sibling_is_up(request_class: RequestClass) -> AttemptResult | None:
+    """Return the result of a detached request while another link to the region is up; None: it keeps waiting.
 
-    Only an idempotent one ends, since it may be retried at once.
+    Only an idempotent request ends, since it may be retried at once on the other link.
     """
     return AttemptResult.RESET if request_class.idempotency is Idempotency.IDEMPOTENT else None
 
 
 def result_after_peer_restart() -> AttemptResult:
-    """Return how a request ends whose gateway has restarted: its status is lost, and it may have run."""
+    """Return the result of a request whose gateway restarted: its status is lost, and it may have run."""
     return AttemptResult.RESET
 
 
 def result_of_status(status: RequestStatus) -> AttemptResult | None:
-    """Return how a request ends with this status; None: it stays open, and a response follows."""
+    """Return the result of a request with this status; None: it stays open, since a response follows."""
     return {
         RequestStatus.NOT_RECEIVED: AttemptResult.CONNECT_FAILED,
         RequestStatus.LOST: AttemptResult.RESET,
@@ -70,7 +70,7 @@
 
 
 class ResponseStatus(Enum):
-    """How a request ended, as reported by the other gateway; the values are those of the wire."""
+    """The outcome of a request as reported by the other gateway; the values are those of `Head.Word`."""
 
     SERVED = 1
     NOT_MODIFIED = 2
@@ -82,10 +82,10 @@
 def result_of_response(
     status: ResponseStatus, may_have_run: bool, request_class: RequestClass
 ) -> AttemptResult:
-    """Return the result of an attempt from the response's status.
+    """Return the result of an attempt from the status of its response.
 
-    A result that proves that nothing ran is returned only if the other gateway reports that, or if the class
-    is idempotent.
+    `MISS` and `REJECTED` imply that nothing ran. They are returned only if the other gateway reports so, or
+    if the class is idempotent.
     """
     if status in (ResponseStatus.SERVED, ResponseStatus.NOT_MODIFIED):
         return AttemptResult.OK
@@ -97,14 +97,14 @@
 
 
 def resume_offset(received: ReceivedPart, response: Response) -> int:
-    """Return where in a response's body the part begins that its requester lacks.
+    """Return the offset in a response's body from which it has to be sent.
 
     Args:
-        received: What the requester has of an object's body.
+        received: The part of a response's body that the requester has received.
         response: The response, with its body.
 
     Returns:
-        The bytes that the requester has, if they are of the same version of the object; else 0.
+        The number of bytes received, if they are of the same version of the object; else 0.
     """
     same_version = (received.tag, received.issued_ms) == (response.entity_tag, response.issued_ms)
     if not received.tag or not same_version or received.bytes > len(response.body):
@@ -115,12 +115,12 @@
 def may_reuse_response(
     issued_ms: int, now_ms: int, purged_ms: int, max_age_ms: int, request_class: RequestClass
 ) -> bool:
-    """Return whether a stored response may answer another request that resumes its body.
+    """Return whether a stored response may be used for another request, which resumes its body.
 
     Args:
-        issued_ms: When its object was issued.
-        now_ms: The present moment, by the same clock.
-        purged_ms: The latest purge of the object; 0: none.
+        issued_ms: When the object in the response was issued, Unix milliseconds.
+        now_ms: The present time by the same clock, Unix milliseconds.
+        purged_ms: When the object was last purged, Unix milliseconds; 0: never.
         max_age_ms: Greatest age of a cached response, ms; 0 is `DEFAULT_MAX_AGE`.
         request_class: The class of the other request, which has to be idempotent.
     """
--- a/marbleglade/gateway/link/response_receiver.py
+++ b/marbleglade/gateway/link/response_receiver.py
@@ -1,4 +1,4 @@
-"""Receives the responses of another region's gateways: puts bodies together, and drops what was purged."""
+"""Receives responses from the gateways of another region: assembles bodies, discards purged objects."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from .flow_control import BodyReceiver
 from .frames import InvalidLinkFrameError
 from .links import ForwardedRequest, Link, RegionLinks
-from .messages import BodyChunk, CreditGrant, ReceivedPart, ResponseHead, part_of
+from .messages import BodyChunk, CreditGrant, ReceivedPart, ResponseHead, received_part_message
 from .recovery import ResponseStatus
 
 
 class ResponseReceiver:
-    """Handles the heads and chunks of responses.
+    """Handles the heads of responses and the chunks of their bodies.
 
     Args:
         region_links: The links to the region.
 
     Attributes:
-        handlers: The handlers by type of message; each takes the link and the message.
+        handlers: The handlers by type of message; each is called with the link and the message.
     """
 
     def __init__(self, region_links: RegionLinks) -> None:
@@ -50,21 +50,23 @@
         elif status is ResponseStatus.NOT_MODIFIED:
             cached_etag = forwarded.client_request.cached_etag
             if not cached_etag or head.tag != cached_etag:
-                raise InvalidLinkFrameError("not the object that the client has cached")
+                raise InvalidLinkFrameError(
+                    f"tag {head.tag} not modified, but the client has {cached_etag!r}"
+                )
             self._complete(link, forwarded, head, b"")
         else:
             self._start_body(link, forwarded, head)
 
     def _check_unexpected(self, number: int) -> None:
-        """Check a message about a request that is not in flight: it must at least have been sent."""
+        """Check that a message about a request that is not in flight is late, and not about an unsent one."""
         if number > self._region_links.last_number:
-            raise InvalidLinkFrameError("a response to a request that was never sent")
+            raise InvalidLinkFrameError(f"response to request {number}, which was never sent")
         self._counters.add("forward.late_response")
 
-    # Bodies.
+    # Bodies
 
     def _start_body(self, link: Link, forwarded: ForwardedRequest, head: ResponseHead) -> None:
-        """Begin to receive a body, where an earlier connection left it or from its start."""
+        """Begin to receive a body, from its start or from where a disconnection cut it off."""
         received = self._resumed_data(forwarded, head)
         self._body_budget.release(forwarded.reserved_bytes)
         forwarded.reserved_bytes = 0
@@ -72,7 +74,7 @@
         receiver = BodyReceiver(head.size, head.at, INITIAL_CREDIT_BYTES, received)
         forwarded.body_receiver = receiver
         if receiver.complete or head.size - head.at <= INITIAL_CREDIT_BYTES:
-            # It is here, or its sender needs no credit to send all of it.
+            # The body is complete already, or the initial credit covers the rest of it.
             self._body_budget.reserve_unconditionally(head.size)
             forwarded.reserved_bytes = head.size
             if receiver.complete:
@@ -86,12 +88,12 @@
             gevent.spawn(guard.call, "body_budget", self._grant_when_budget_allows, link, forwarded, receiver)
 
     def _resumed_data(self, forwarded: ForwardedRequest, head: ResponseHead) -> bytes:
-        """Return what is here of the body that `head` announces; empty if it begins at its start.
+        """Return the received bytes of the body that `head` announces; empty if it is sent from its start.
 
         Raises:
-            InvalidLinkFrameError: It resumes what is not here.
+            InvalidLinkFrameError: The body resumes beyond the bytes that were received.
         """
-        part = self._part_before(forwarded)
+        part = self._previously_received_part(forwarded)
         received_bytes = part.bytes if part else 0
         same_object = part is not None and (part.tag, part.issued_ms) == (head.tag, head.issued_ms)
         self._counters.add("forward.partial_bytes", received_bytes)
@@ -102,28 +104,30 @@
             return b""
         data = self._received_data(forwarded, head)
         if len(data) < head.at:
-            raise InvalidLinkFrameError("a body that resumes what never came")
+            raise InvalidLinkFrameError(
+                f"body of request {head.number} resumes at {head.at}, but {len(data)} bytes were received"
+            )
         self._counters.add("forward.resumed")
         self._counters.add("forward.resumed_bytes", head.at)
         return data
 
     @staticmethod
-    def _part_before(forwarded: ForwardedRequest) -> ReceivedPart | None:
-        """Return what had come of a body when it was announced once more; None if it never was before."""
+    def _previously_received_part(forwarded: ForwardedRequest) -> ReceivedPart | None:
+        """Return the part of the body received before its present head; None if there was no such part."""
         receiver, head = forwarded.body_receiver, forwarded.response_head
         if receiver and head:
-            return part_of(head.tag, head.issued_ms, receiver.received_bytes)
+            return received_part_message(head.tag, head.issued_ms, receiver.received_bytes)
         return forwarded.received_part
 
     @staticmethod
     def _received_data(forwarded: ForwardedRequest, head: ResponseHead) -> bytes:
-        """Return the bytes that are here of the object that `head` names."""
-        wanted = head.tag, head.issued_ms
+        """Return the received bytes of the version of the object that `head` identifies."""
+        version = head.tag, head.issued_ms
         earlier = forwarded.response_head
-        if forwarded.body_receiver and earlier and (earlier.tag, earlier.issued_ms) == wanted:
+        if forwarded.body_receiver and earlier and (earlier.tag, earlier.issued_ms) == version:
             return forwarded.body_receiver.data()
         partial = forwarded.partial_body
-        if partial and (partial.tag, partial.issued_ms) == wanted:
+        if partial and (partial.tag, partial.issued_ms) == version:
             return partial.data
         return b""
 
@@ -136,7 +140,7 @@
     def _grant_when_budget_allows(
         self, link: Link, forwarded: ForwardedRequest, receiver: BodyReceiver
     ) -> None:
-        """Let the rest of a body be sent once there is memory for it."""
+        """Grant credit for the rest of a body once the body budget has room for it."""
         self._counters.add("forward.waited_for_budget")
         with gevent.Timeout(max(0, forwarded.deadline - clock.now()) / SECOND_NS, False):
             self._body_budget.reserve(receiver.size)
@@ -158,21 +162,21 @@
             self._check_unexpected(chunk.number)
             return
         if receiver is None or forwarded.response_head is None:
-            raise InvalidLinkFrameError("a chunk without its head")
+            raise InvalidLinkFrameError(f"chunk of request {chunk.number} received before the response head")
         receiver.add_chunk(chunk.at, chunk.data)
         self._counters.add("forward.bytes", len(chunk.data))
         if receiver.complete:
             self._complete(link, forwarded, forwarded.response_head, receiver.data())
 
-    # The complete response.
+    # Complete responses
 
     def _complete(self, link: Link, forwarded: ForwardedRequest, head: ResponseHead, body: bytes) -> None:
-        """Pass on a complete response, unless its body is corrupt or its object was purged."""
+        """Report a complete response as the result, unless its body is corrupt or the object was purged."""
         has_body = head.word == ResponseHead.SETTLED
         if has_body and xxhash.xxh3_64_intdigest(body) != head.check:
             self._counters.add("forward.corrupt_body")
             forwarded.body_receiver = None
-            raise InvalidLinkFrameError("a body that does not match its checksum")
+            raise InvalidLinkFrameError(f"body of request {head.number} does not match its checksum")
         issued_earliest = link.clock_offset.to_local(
             head.issued_ms * MILLISECOND_NS, clock.unix_ns()
         ).earliest
@@ -188,7 +192,7 @@
         self._region_links.complete(forwarded, UpstreamResult(AttemptResult.OK, response))
 
     def _is_purged(self, forwarded: ForwardedRequest, head: ResponseHead, issued_ms: int) -> bool:
-        """Return whether the object was purged, in either region; `issued_ms` is by this region's clock."""
+        """Return whether the object was purged in either region; `issued_ms` is by this region's clock."""
         object_id = forwarded.request.object_id
         group = forwarded.client_request.group
         if self._region_links.purge_receiver.is_purged(object_id, group, head.issued_ms):
--- a/marbleglade/gateway/link/state_receiver.py
+++ b/marbleglade/gateway/link/state_receiver.py
@@ -1,4 +1,4 @@
-"""Handles messages about the state of a link's other side: start, clock, purges, drain, request status."""
+"""Handles messages on the state of a peer gateway: start, clock, purges, drain and status of requests."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 
 class LinkStateReceiver:
-    """Handles the messages that concern a link as a whole.
+    """Handles all messages of a link except the responses.
 
     Args:
         region_links: The links to the region.
 
     Attributes:
-        handlers: The handlers by type of message; each takes the link and the message.
+        handlers: The handlers by type of message; each is called with the link and the message.
     """
 
     def __init__(self, region_links: RegionLinks) -> None:
@@ -65,13 +65,16 @@
             or message.gateway != link.name
             or message.to_region != ends.local_region
         ):
-            raise InvalidLinkFrameError("not the gateway that the deployment names")
+            raise InvalidLinkFrameError(
+                f"hello from gateway {message.gateway} of {message.region} to {message.to_region}, expected "
+                f"{link.name} of {ends.remote_region} to {ends.local_region}"
+            )
         link.connected().apply_peer_windows(message)
         if message.start_ms != link.start_ms:
             self._peer_restarted(link, message.start_ms)
 
     def _peer_restarted(self, link: Link, start_ms: int) -> None:
-        """Begin anew with another incarnation, which knows nothing of what the one before had received."""
+        """Reset the link for a new incarnation of the peer, which has no state from the one before."""
         for forwarded in list(link.detached.values()):
             del link.detached[forwarded.number]
             result = recovery.result_after_peer_restart()
@@ -83,11 +86,11 @@
 
     def _on_purge(self, link: Link, message: PurgeMessage) -> None:
         if message.index <= link.purge_index:
-            raise InvalidLinkFrameError("a purge out of order")
+            raise InvalidLinkFrameError(f"purge {message.index} received after purge {link.purge_index}")
         link.purge_index = message.index
         self._purge_receiver.add(region_purge(message))
         self._counters.add("purge.from_other_region")
-        # By this gateway's clock, the latest moment that the offset's bounds allow.
+        # Convert the time of the purge to the latest one by this clock that the bounds of the offset allow.
         if link.clock_offset.is_known:
             latest = link.clock_offset.to_local(message.at_ms * MILLISECOND_NS, clock.unix_ns()).latest
             purged_at_ms = latest // MILLISECOND_NS + 1
@@ -98,7 +101,9 @@
 
     def _on_purges_complete(self, link: Link, message: PurgesComplete) -> None:
         if message.index < link.purge_index:
-            raise InvalidLinkFrameError("fewer purges than were sent")
+            raise InvalidLinkFrameError(
+                f"purges complete up to {message.index}, below purge {link.purge_index}"
+            )
         link.purge_index = message.index
         link.purges_complete = message
 
@@ -110,7 +115,7 @@
             peer_sent_at=message.sent_ns,
             received_at=clock.unix_ns(),
         ):
-            raise InvalidLinkFrameError("an exchange that contradicts itself")
+            raise InvalidLinkFrameError("times of a heartbeat exchange contradict each other")
         if message.deaf:
             return
         if link.up:
@@ -120,22 +125,22 @@
             self._bring_up(link, message.sent_ns // MILLISECOND_NS)
 
     def _fail_over_detached(self) -> None:
-        """End requests of links that are down if another link of the region works and they need not wait."""
+        """End detached requests that need not wait for their link, as another link to the region is up."""
         for link in self._region_links.links:
             if link.up:
                 continue
             for forwarded in list(link.detached.values()):
-                result = recovery.result_while_sibling_works(forwarded.request.request_class)
+                result = recovery.result_while_sibling_is_up(forwarded.request.request_class)
                 if result:
                     del link.detached[forwarded.number]
                     self._region_links.complete(forwarded, UpstreamResult(result))
 
     def _bring_up(self, link: Link, heartbeat_ms: int) -> None:
-        """Let requests be forwarded once the other clock is known and all purges have come.
+        """Permit forwarding once the peer's clock offset is known and all earlier purges were received.
 
         Args:
             link: The link.
-            heartbeat_ms: When the heartbeat was sent, Unix milliseconds of the other region.
+            heartbeat_ms: When the latest heartbeat was sent, Unix milliseconds by the peer's clock.
         """
         if not link.purges_complete or not link.clock_offset.is_known or not link.start_ms:
             return
@@ -163,7 +168,7 @@
             link.connected().send(query)
 
     def _synchronize_purges(self, link: Link, complete: PurgesComplete, heartbeat_ms: int) -> None:
-        """Count as purged what may have been purged while no link was up."""
+        """Treat objects as purged if a purge of them may have been missed while no link was up."""
         purges = self._purge_receiver
         purged_up_to_ms = purges.all_purged_up_to_ms
         if not purges.mark_synchronized(complete.since_ms, heartbeat_ms, clock.now()):
@@ -174,7 +179,7 @@
             self._region_links.listener.purges_missed(latest // MILLISECOND_NS + 1)
 
     def _update_endpoint(self, link: Link, state: UpstreamState) -> None:
-        """List a gateway as an upstream; an incarnation that has announced its drain stays draining."""
+        """Add or update a gateway as an upstream; an incarnation that announced its drain stays draining."""
         is_active = state is UpstreamState.ACTIVE
         if is_active and link.draining_start_ms == link.start_ms:
             return
@@ -200,7 +205,7 @@
 
     def _on_request_status(self, link: Link, message: StatusReply) -> None:
         forwarded = link.detached.pop(message.number, None)
-        if forwarded is None:  # it has ended while its status was asked for
+        if forwarded is None:  # the request ended before the status arrived
             link.connected().send(CancelMessage(number=message.number))
             return
         status = request_status(message)
--- a/tests/gateway/test_frames.py
+++ b/tests/gateway/test_frames.py
@@ -75,7 +75,7 @@
                 ResponseHead(number=1, word=1, tag=""),
             )
         ),
-        frames.encode(HELLO) + frames.LENGTH.pack(2) + b"\x9a\x06",
+        frames.encode(HELLO) + frames.LENGTH_PREFIX.pack(2) + b"\x9a\x06",
     ],
 )
 def test_a_frame_that_is_unreadable_out_of_bounds_or_out_of_place_is_refused(data):
@@ -109,5 +109,5 @@
 def test_every_kind_of_frame_has_a_message_and_a_check():
     fields = [field.name for field in Frame.DESCRIPTOR.fields]
     assert sorted(FRAME_FIELDS.values()) == sorted(fields)
-    assert set(frames.CHECKS) == set(FRAME_FIELDS)
+    assert set(frames.VALIDATORS) == set(FRAME_FIELDS)
     assert Frame.FromString(b"").WhichOneof("kind") is None
--- a/tests/gateway/test_messages.py
+++ b/tests/gateway/test_messages.py
@@ -3,7 +3,7 @@
 import pytest
 
 from marbleglade.gateway.link.messages import (
-    STATE_ON_THE_WIRE,
+    STATE_BY_STATUS,
     Frame,
     RequestMessage,
     ResponseHead,
@@ -122,7 +122,7 @@
 
 
 def test_the_words_on_the_wire_stay_as_they_are():
-    assert [STATE_ON_THE_WIRE[status] for status in RequestStatus] == [1, 2, 3, 4]
+    assert [STATE_BY_STATUS[status] for status in RequestStatus] == [1, 2, 3, 4]
     assert [ResponseHead.SETTLED, ResponseHead.SAME, ResponseHead.PUSHED_BACK] == [1, 2, 3]
     assert [ResponseHead.BROKEN_OFF, ResponseHead.LACKING] == [4, 5]
     assert [StatusReply.NEVER, StatusReply.RUNNING, StatusReply.ANSWERED, StatusReply.LOST] == [1, 2, 3, 4]
--- a/tests/gateway/test_recovery.py
+++ b/tests/gateway/test_recovery.py
@@ -3,7 +3,7 @@
 import pytest
 
 from marbleglade.gateway.link import recovery
-from marbleglade.gateway.link.messages import part_of
+from marbleglade.gateway.link.messages import received_part_message
 from marbleglade.gateway.link.recovery import AwaitLink, ResponseStatus
 from marbleglade.model.attempt import AttemptResult
 from marbleglade.model.request import Idempotency, RequestClass
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    "request_class, peer_keeps_journal, decision, while_sibling_works",
+    "request_class, peer_keeps_journal, decision, while_sibling_is_up",
     [
         (IDEMPOTENT, True, AwaitLink(410 * MS), AttemptResult.RESET),
         (IDEMPOTENT, False, AttemptResult.RESET, AttemptResult.RESET),
@@ -28,11 +28,11 @@
     ],
 )
 def test_a_request_waits_for_its_link_as_its_class_allows(
-    request_class, peer_keeps_journal, decision, while_sibling_works
+    request_class, peer_keeps_journal, decision, while_sibling_is_up
 ):
     found = recovery.result_after_disconnect(request_class, 10 * MS, 60 * MS, 1500 * MS, peer_keeps_journal)
     assert found == decision
-    assert recovery.result_while_sibling_works(request_class) is while_sibling_works
+    assert recovery.result_while_sibling_is_up(request_class) is while_sibling_is_up
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
     """Each is the tag, the time of issue and the size."""
     tag, issued_ms, size = sent
     response = Response(RequestOutcome.SERVED, entity_tag=tag, issued_ms=issued_ms, body=bytes(size))
-    assert recovery.resume_offset(part_of(*received), response) == offset
+    assert recovery.resume_offset(received_part_message(*received), response) == offset
 
 
 @pytest.mark.parametrize(
