--- a/tests/gateway/test_clock_offset.py
+++ b/tests/gateway/test_clock_offset.py
@@ -1,4 +1,4 @@
-"""The offset of another region's clock: its bounds always hold, and a clock that is set is followed."""
+"""The offset of another region's clock: it always lies within its bounds, and clock jumps are detected."""
 
 import zlib
 
@@ -13,14 +13,14 @@
 
 
 def seeded_fraction(*seed):
-    """A number from 0 to 1 that is the same in each run."""
+    """Return a number from 0 to 1 that depends only on the seed."""
     return zlib.crc32(" ".join(map(str, seed)).encode()) / 2**32
 
 
 @pytest.mark.parametrize("offset_s", [-5, 0, 5])
 @pytest.mark.parametrize("drift_ppm", [-400, 0, 400])
 def test_the_offset_always_lies_within_its_bounds(offset_s, drift_ppm):
-    """Both directions differ and vary; the other clock drifts for a minute."""
+    """The delays of both directions differ and vary, and the peer's clock drifts for a minute."""
     clock_offset = ClockOffset(500)
     now = START
 
@@ -40,10 +40,10 @@
         assert low <= peer_clock(now) - now <= high
         earliest, latest = clock_offset.to_local(peer_clock(now - 50 * MS), now)
         assert earliest <= now - 50 * MS + MS // 10 and latest >= now - 50 * MS - MS // 10
-    assert high - low < 12 * MS and not clock_offset.clock_jumps  # the shortest exchanges count
+    assert high - low < 12 * MS and not clock_offset.clock_jumps  # the shortest exchanges set the bounds
 
 
-def test_after_a_clock_was_set_the_new_exchange_counts_alone():
+def test_a_clock_jump_discards_the_earlier_exchanges():
     clock_offset = ClockOffset(500)
     assert clock_offset.add_exchange(0, 100 * MS, 100 * MS, 10 * MS)
     assert clock_offset.add_exchange(20 * MS, 5120 * MS, 5120 * MS, 30 * MS)
@@ -51,7 +51,7 @@
     assert clock_offset.bounds(30 * MS) == (5090 * MS, 5100 * MS)
 
 
-def test_an_exchange_that_contradicts_itself_is_refused():
+def test_an_exchange_with_contradictory_times_is_rejected():
     clock_offset = ClockOffset(500)
     assert clock_offset.add_exchange(0, 100 * MS, 100 * MS, 10 * MS)
     assert not clock_offset.add_exchange(10, 100, 50, 20)
--- a/tests/gateway/test_concurrency_limit.py
+++ b/tests/gateway/test_concurrency_limit.py
@@ -1,10 +1,10 @@
-"""The bound on requests in flight at a region: low after it returns, then growing, lowered by overload."""
+"""The limit on requests in flight at a region: low after an outage, then growing, lowered by overload."""
 
 from marbleglade.gateway.concurrency_limit import ConcurrencyLimit
 
 
 def acquire_all(limit):
-    """Acquire until the limit refuses, and return how often it did not."""
+    """Acquire until the limit is reached, and return how often that succeeded."""
     return sum(limit.try_acquire() for _ in range(1000))
 
 
--- a/tests/gateway/test_disconnections.py
+++ b/tests/gateway/test_disconnections.py
@@ -1,4 +1,4 @@
-"""Two regions on loopback: links that are reset, silent or slow, and what becomes of the requests on them."""
+"""Two regions on loopback: how requests continue while links are reset, silent or slow."""
 
 import gevent
 import pytest
@@ -20,7 +20,8 @@
 )
 from tests.harness.regions import LINK, TwoRegions
 
-# Its objective and timeout are not reached on a slow machine either: past them a request is rejected.
+# A request class with an objective and a timeout that are not reached even on a slow machine. A request that
+# exceeds them is rejected.
 ARCHIVE = "archive-media"
 ARCHIVE_TIMEOUT_MS = 9000
 ARCHIVE_CLASS = f'profiles {{ name: "{ARCHIVE}" agreed_ms: 2000 stretch: 2 client_timeout_ms: 10000 }}\n'
@@ -52,7 +53,7 @@
 
 
 def start_request_and_disconnect(regions, class_name, timeout_ms, fault, seconds):
-    """Requests a large object of the west, and cuts its links amid the body for this long."""
+    """Requests a large object of the west, with a fault on its links for `seconds` during the body."""
     set_west_fault(regions, rate=500_000)
     waiting = gevent.spawn(request_object, regions.client(), LARGE_WEST_VIDEO, class_name, timeout_ms)
     gevent.sleep(0.15)
--- a/tests/gateway/test_flow_control.py
+++ b/tests/gateway/test_flow_control.py
@@ -1,4 +1,4 @@
-"""Flow control of a link: what is written first, what may be in flight, and which chunks are refused."""
+"""Flow control of a link: the order of writes, the bytes in flight, and the chunks that are rejected."""
 
 import itertools
 
@@ -15,7 +15,7 @@
 
 
 def take_all(queue, now=0):
-    """All that may be written at `now`."""
+    """Return the frames and chunks that may be written at `now`."""
     items = (queue.next_item(now) for _ in range(10_000))
     return list(itertools.takewhile(lambda item: item is not None, items))
 
@@ -24,7 +24,7 @@
     return sum(len(item.data) for item in items if isinstance(item, OutgoingChunk))
 
 
-def test_bodies_take_turns_and_frames_are_written_first():
+def test_control_frames_are_written_first_and_bodies_in_rotation():
     queue = SendQueue(1 << 20, 1 << 20, 10)
     queue.put_body(1, bytes(200_000))
     queue.put_body(2, bytes(3000))
@@ -43,7 +43,7 @@
 
 
 def queue_after_long_round_trips():
-    """A queue whose round trips take 100 ms, without queueing, and the time."""
+    """Return a queue after round trips of 100 ms without queueing delay, and the present time, ns."""
     queue = SendQueue(16 * MAX_CHUNK_BYTES, MAX_CHUNK_BYTES, 10 * MS)
     queue.put_body(1, bytes(200_000))
     take_all(queue)
@@ -60,28 +60,28 @@
     return queue, now
 
 
-def test_a_long_round_trip_without_queueing_leaves_the_whole_window():
+def test_a_long_round_trip_without_queueing_does_not_shrink_the_window():
     queue, _ = queue_after_long_round_trips()
     assert queue.send_window.limit == 16 * MAX_CHUNK_BYTES
 
 
-def test_queueing_shrinks_the_window():
+def test_queueing_delay_shrinks_the_window():
     queue, now = queue_after_long_round_trips()
-    for _ in range(8):  # 100 bytes a millisecond: the more is in flight, the longer the last of it takes
+    for _ in range(8):  # the link carries 100 bytes/ms, so a fuller window is acknowledged later
         take_all(queue, now)
         now += 100 * MS + queue.send_window.in_flight_bytes * MS // 100
         queue.add_credit(0, queue.send_window.in_flight_bytes, now)
     assert queue.send_window.limit <= 2 * queue.send_window.min_limit
 
 
-def test_credit_for_more_than_was_sent_is_refused():
+def test_an_acknowledgement_of_more_than_was_sent_is_rejected():
     queue, now = queue_after_long_round_trips()
     take_all(queue, now)
     with pytest.raises(FlowControlError):
         queue.add_credit(0, 1 << 20, now)
 
 
-def test_frames_that_wait_are_bounded():
+def test_queued_control_frames_are_bounded():
     queue, _ = queue_after_long_round_trips()
     with pytest.raises(FlowControlError):
         for _ in range(1 << 10):
@@ -99,7 +99,7 @@
         (100, 0, 100, [(0, 0)]),
     ],
 )
-def test_a_chunk_out_of_place_or_without_credit_is_refused(size, offset, initial_credit, chunks):
+def test_a_chunk_at_a_wrong_offset_or_without_credit_is_rejected(size, offset, initial_credit, chunks):
     receiver = BodyReceiver(size, offset, initial_credit, bytes(offset))
     with pytest.raises(FlowControlError):
         for chunk_offset, length in chunks:
--- a/tests/gateway/test_frames.py
+++ b/tests/gateway/test_frames.py
@@ -1,4 +1,4 @@
-"""The link's frames: what can't be used is refused, and what is sent is decoded unchanged."""
+"""Codec of the link's frames: invalid frames are rejected, and valid ones are decoded as they were sent."""
 
 import pytest
 
@@ -27,8 +27,8 @@
 REQUEST = RequestMessage(number=1, trace="t", profile="p", thing=1, within_ms=5, passed=["east"])
 
 
-def changed(message, **changes):
-    """A copy of a message with other fields."""
+def with_fields(message, **changes):
+    """Return a copy of a message with some fields replaced."""
     copy = type(message)()
     copy.CopyFrom(message)
     for name, value in changes.items():
@@ -46,7 +46,7 @@
         b"GET / HTTP/1.1\r\n",
         frames.encode(HELLO) * 2,
         *(
-            frames.encode(changed(HELLO, **changes))
+            frames.encode(with_fields(HELLO, **changes))
             for changes in (
                 {"version": 2},
                 {"region": "We st"},
@@ -59,12 +59,12 @@
         *(
             frames.encode(HELLO) + frames.encode(message)
             for message in (
-                changed(REQUEST, number=0),
-                changed(REQUEST, trace="a b"),
-                changed(REQUEST, within_ms=0),
-                changed(REQUEST, group=257),
-                changed(REQUEST, copy="xyz"),
-                changed(REQUEST, body=1 << 20),
+                with_fields(REQUEST, number=0),
+                with_fields(REQUEST, trace="a b"),
+                with_fields(REQUEST, within_ms=0),
+                with_fields(REQUEST, group=257),
+                with_fields(REQUEST, copy="xyz"),
+                with_fields(REQUEST, body=1 << 20),
                 RequestMessage(number=1, trace="t", profile="p", thing=1, within_ms=5),
                 BodyChunk(number=1),
                 BodyChunk(data=b"a"),
@@ -78,7 +78,7 @@
         frames.encode(HELLO) + frames.LENGTH_PREFIX.pack(2) + b"\x9a\x06",
     ],
 )
-def test_a_frame_that_is_unreadable_out_of_bounds_or_out_of_place_is_refused(data):
+def test_an_undecodable_invalid_or_unexpected_frame_is_rejected(data):
     with pytest.raises(frames.InvalidLinkFrameError):
         frames.LinkFrameDecoder().feed(data)
 
@@ -86,13 +86,13 @@
 @pytest.mark.parametrize(
     "number, offset, size", [(1, 0, 1), (1 << 40, 199_999, 127), (7, 5, 128), (300, 0, MAX_CHUNK_BYTES)]
 )
-def test_a_chunk_is_encoded_as_protobuf_would(number, offset, size):
+def test_a_chunk_is_encoded_as_by_protobuf(number, offset, size):
     data = bytes(range(256)) * 64
     encoded = b"".join(frames.encode_chunk(number, offset, memoryview(data)[:size]))
     assert encoded == frames.encode(BodyChunk(number=number, at=offset, data=data[:size]))
 
 
-def test_frames_are_decoded_however_they_are_cut():
+def test_frames_are_decoded_from_pieces_of_any_size():
     data = frames.encode(HELLO) + b"".join(
         frames.encode(BodyChunk(number=number, at=number, data=bytes(number * 1000)))
         for number in range(1, 9)
@@ -106,7 +106,7 @@
     assert len(messages) == 9
 
 
-def test_every_kind_of_frame_has_a_message_and_a_check():
+def test_every_kind_of_frame_has_a_message_and_a_validator():
     fields = [field.name for field in Frame.DESCRIPTOR.fields]
     assert sorted(FRAME_FIELDS.values()) == sorted(fields)
     assert set(frames.VALIDATORS) == set(FRAME_FIELDS)
--- a/tests/gateway/test_link_input.py
+++ b/tests/gateway/test_link_input.py
@@ -1,4 +1,4 @@
-"""What a gateway receives on its links: what can't be followed ends that link alone."""
+"""Invalid messages on a link: only the connection on which they are received is closed."""
 
 import time
 
@@ -38,7 +38,7 @@
         (hello_frame(gateway="west-9"), "no such gateway there"),
     ],
 )
-def test_a_gateway_that_the_deployment_does_not_name_is_refused(east_alone, hello, reason):
+def test_a_gateway_that_is_not_in_the_deployment_is_refused(east_alone, hello, reason):
     peer = LinkPeer(east_alone).send(hello, request_frame(1))
     assert peer.receive(ConnectionRefused).why == reason
     assert peer.is_closed()
@@ -57,14 +57,14 @@
         HELLO + frames.encode(BodyChunk(number=9, data=b"a")),
         HELLO + request_frame(1, body=10) + frames.encode(BodyChunk(number=1, data=b"a" * 11)),
         HELLO + request_frame(1, body=10) + frames.encode(BodyChunk(number=1, at=3, data=b"a")),
-        HELLO + frames.encode(CreditGrant(number=0, bytes=50)),  # for what was never sent
+        HELLO + frames.encode(CreditGrant(number=0, bytes=50)),  # acknowledges bytes that were never sent
         HELLO + frames.encode(PurgeMessage(index=1, thing=1, at_ms=1)),
         HELLO + frames.encode(PurgesComplete()),
         HELLO + b"\0\1\0\0",
         HELLO + b"\0\0\0\4abcd",
     ],
 )
-def test_what_can_not_be_followed_ends_that_link_alone(east_alone, data):
+def test_invalid_data_closes_only_its_own_connection(east_alone, data):
     other = LinkPeer(east_alone).send(hello_frame(gateway="west-2"))
     assert other.receive(Hello).region == "east"
     assert LinkPeer(east_alone).send(data).is_closed()
@@ -79,7 +79,7 @@
         ({"thing": WEST | 4}, ResponseHead.LACKING),  # no such object in the east
     ],
 )
-def test_a_request_that_can_not_be_served_is_answered_and_the_link_stays_up(east_alone, changes, word):
+def test_a_request_that_cannot_be_served_gets_a_response_and_the_link_stays_up(east_alone, changes, word):
     peer = LinkPeer(east_alone).send(HELLO)
     assert peer.send(request_frame(1, **changes)).receive(ResponseHead).word == word
     assert peer.send(request_frame(2)).receive(ResponseHead).word == ResponseHead.SETTLED
@@ -97,7 +97,7 @@
     assert second.receive(StatusReply).state == StatusReply.NEVER
 
 
-def test_a_request_that_was_reported_as_never_received_ends_the_link(east_alone):
+def test_a_request_after_its_status_never_received_closes_the_link(east_alone):
     peer = LinkPeer(east_alone).send(HELLO).send_messages(StatusQuery(number=7))
     assert peer.receive(StatusReply).state == StatusReply.NEVER
     assert peer.send(request_frame(7)).is_closed()
@@ -116,8 +116,8 @@
         [b"HTTP/1.1 400 Bad Request\r\n\r\n"],
     ],
 )
-def test_a_gateway_that_replies_wrongly_is_closed_and_the_local_region_is_served(east_alone, reply):
-    """A stand-in listens at the address of a gateway that has gone."""
+def test_an_invalid_reply_closes_the_link_and_the_local_region_is_served(east_alone, reply):
+    """A stand-in replies on the address of a gateway that was stopped."""
     listener = listening_socket(("127.0.0.1", east_alone.west.ports["west-1"][LINK_PORT]))
     closed = []
 
@@ -139,7 +139,7 @@
 
 @pytest.mark.parametrize("body", [0, 10])
 def test_the_deadline_of_a_forwarded_request_counts_from_its_arrival(east_alone, monkeypatch, body):
-    """It lies unread for 0.4 s, in a process that is held up: so much less is left of its time."""
+    """The process is blocked for 0.4 s before it reads the request, so the timeout is shortened by that."""
     timeouts_ms = []
     respond = StandInUpstream._respond
 
--- a/tests/gateway/test_messages.py
+++ b/tests/gateway/test_messages.py
@@ -1,4 +1,4 @@
-"""The link's messages: requests, responses and statuses arrive as they were sent."""
+"""The link's messages: requests, responses, statuses and purges are received as they were transferred."""
 
 import pytest
 
@@ -44,17 +44,17 @@
 )
 
 
-def sent(message):
-    """A message as it arrives."""
+def transferred(message):
+    """Return a message after it was serialized and parsed."""
     return type(message).FromString(message.SerializeToString())
 
 
-def forward(time_left=600 * MS, partial=None):
-    return sent(request_message(5, REQUEST, time_left, 400, "east", partial))
+def transferred_request(time_left=600 * MS, partial=None):
+    return transferred(request_message(5, REQUEST, time_left, 400, "east", partial))
 
 
-def test_a_forwarded_request_arrives_with_its_number_its_region_and_the_time_left():
-    received = client_request(forward(), REQUEST_CLASS, b"body", 123)
+def test_a_forwarded_request_has_its_number_its_region_and_the_time_left():
+    received = client_request(transferred_request(), REQUEST_CLASS, b"body", 123)
     assert (received.tag, received.via_regions) == (5, ("south", "east"))
     assert (received.timeout_ns, received.received_at) == (600 * MS, 123)
     for field in (
@@ -73,19 +73,19 @@
         assert getattr(received, field) == getattr(REQUEST, field), field
 
 
-def test_a_forwarded_request_waits_no_longer_than_its_class_allows():
-    received = client_request(forward(time_left=9000 * MS), REQUEST_CLASS, b"", 0)
+def test_the_timeout_of_a_forwarded_request_is_limited_by_its_class():
+    received = client_request(transferred_request(time_left=9000 * MS), REQUEST_CLASS, b"", 0)
     assert received.timeout_ns == REQUEST_CLASS.client_timeout
 
 
-def test_the_time_left_is_told_as_a_millisecond_at_least():
-    assert forward(time_left=1).within_ms == 1
+def test_the_time_left_is_sent_as_at_least_one_millisecond():
+    assert transferred_request(time_left=1).within_ms == 1
 
 
 def test_a_partial_body_is_identified_by_its_object_and_size():
-    part = forward(partial=PartialBody("3" * 16, 50, b"12345", 0)).had
+    part = transferred_request(partial=PartialBody("3" * 16, 50, b"12345", 0)).had
     assert (part.tag, part.issued_ms, part.bytes) == ("3" * 16, 50, 5)
-    assert not forward().HasField("had")
+    assert not transferred_request().HasField("had")
 
 
 @pytest.mark.parametrize(
@@ -101,8 +101,8 @@
         (Response(RequestOutcome.REJECTED, object_missing=True), ResponseStatus.OBJECT_MISSING),
     ],
 )
-def test_the_head_of_a_response_tells_how_the_request_ended(response, status):
-    head = sent(response_head(5, response))
+def test_the_head_of_a_response_has_the_outcome_of_the_request(response, status):
+    head = transferred(response_head(5, response))
     assert head.number == 5
     assert ResponseStatus(head.word) is status
     assert (head.tag, head.issued_ms) == (response.entity_tag, response.issued_ms)
@@ -111,17 +111,17 @@
 
 
 @pytest.mark.parametrize("status", RequestStatus)
-def test_the_status_of_a_request_arrives_as_it_was_sent(status):
-    reply = sent(status_reply(5, status))
+def test_the_status_of_a_request_is_received_as_it_was_sent(status):
+    reply = transferred(status_reply(5, status))
     assert (reply.number, request_status(reply)) == (5, status)
 
 
-def test_a_purge_arrives_as_it_was_sent():
+def test_a_purge_is_received_as_it_was_sent():
     purge = RegionPurge(index=3, object_id=1 << 63, group=7, purged_at_ms=1 << 41)
-    assert region_purge(sent(purge_message(purge))) == purge
+    assert region_purge(transferred(purge_message(purge))) == purge
 
 
-def test_the_words_on_the_wire_stay_as_they_are():
+def test_the_values_on_the_wire_do_not_change():
     assert [STATE_BY_STATUS[status] for status in RequestStatus] == [1, 2, 3, 4]
     assert [ResponseHead.SETTLED, ResponseHead.SAME, ResponseHead.PUSHED_BACK] == [1, 2, 3]
     assert [ResponseHead.BROKEN_OFF, ResponseHead.LACKING] == [4, 5]
--- a/tests/gateway/test_recovery.py
+++ b/tests/gateway/test_recovery.py
@@ -1,4 +1,4 @@
-"""What becomes of a request after a disconnection, and what a response proves, in tables."""
+"""Tables of how a request continues after a disconnection, and of the result that a response implies."""
 
 import pytest
 
@@ -48,7 +48,7 @@
         (ResponseStatus.FAILED, False, IDEMPOTENT, AttemptResult.ERROR),
     ],
 )
-def test_a_response_proves_no_more_than_it_states(status, may_have_run, request_class, result):
+def test_the_result_of_a_response_depends_on_what_may_have_run(status, may_have_run, request_class, result):
     assert recovery.result_of_response(status, may_have_run, request_class) is result
 
 
@@ -63,8 +63,8 @@
         (("a", 5, 200), ("a", 5, 200), 200),
     ],
 )
-def test_a_body_is_resumed_only_within_the_same_object(received, sent, offset):
-    """Each is the tag, the time of issue and the size."""
+def test_a_body_is_resumed_only_within_the_same_version_of_the_object(received, sent, offset):
+    """`received` and `sent` are each an entity tag, a time of issue in ms, and a size in bytes."""
     tag, issued_ms, size = sent
     response = Response(RequestOutcome.SERVED, entity_tag=tag, issued_ms=issued_ms, body=bytes(size))
     assert recovery.resume_offset(received_part_message(*received), response) == offset
--- a/tests/gateway/test_recovery_simulation.py
+++ b/tests/gateway/test_recovery_simulation.py
@@ -1,4 +1,4 @@
-"""A thousand runs of disconnections and reconnections on simulated time: no effect happens twice."""
+"""Simulates a thousand runs with disconnections and reconnections: no effect happens twice."""
 
 import zlib
 from collections import Counter, deque
@@ -16,8 +16,8 @@
 MAX_ATTEMPTS = 6
 
 
-class JournalThatTakesLateRequests(RequestJournal):
-    """A seeded fault: a request that was said never to have come may come after all."""
+class JournalAcceptingLateRequests(RequestJournal):
+    """A seeded fault: a request that was reported as never received may still be accepted."""
 
     def status_of(self, session, number):
         last_number = session.last_number
@@ -26,8 +26,8 @@
         return status
 
 
-class JournalThatForgetsExpiry(RequestJournal):
-    """A seeded fault: a request that has expired is said never to have come."""
+class JournalForgettingExpiry(RequestJournal):
+    """A seeded fault: a request that has expired is reported as never received."""
 
     def expire(self, now):
         expired_up_to = {name: session.expired_up_to for name, session in self.sessions.items()}
@@ -38,24 +38,24 @@
 
 
 class Simulation:
-    """One requester, one responder, and a link that may be disconnected at any moment. Time is a number.
+    """One requester, one responder, and a link that may be disconnected at any moment, on simulated time.
 
     The steps are those of `requester` and `forwarded_requests`, with messages in two queues. A disconnection
-    loses what is in flight, or the responder reads it late, when the next connection is up already
-    (`late_messages`). Entries of the journal expire soon, some while their status is still asked for.
+    loses the messages in flight, or the responder reads them late, when the next connection is already up
+    (`late_messages`). Entries of the journal expire soon, some of them before their status is queried.
 
     Args:
-        seed: Of all that is drawn.
+        seed: The seed of the pseudorandom numbers.
         journal: The responder's journal.
 
     Attributes:
-        effects: How often each order had its effect.
-        results: How each order ended for the requester.
+        effects: How often each order took effect.
+        results: The result of each order at the requester.
     """
 
     def __init__(self, seed, journal):
         self.seed = seed
-        self.draws = 0
+        self.random_count = 0
         self.now = 0
         self.journal = journal
         self.connection_number = 0
@@ -73,9 +73,9 @@
         self.late_messages = deque()
         self.connect()
 
-    def draw(self):
-        self.draws += 1
-        return zlib.crc32(b"%d %d" % (self.seed, self.draws)) / 2**32
+    def next_random(self):
+        self.random_count += 1
+        return zlib.crc32(b"%d %d" % (self.seed, self.random_count)) / 2**32
 
     def connect(self):
         self.connection_number += 1
@@ -105,7 +105,7 @@
         self.to_responder.append(("request", self.last_number, order))
 
     def handle_result(self, order, result):
-        """Retry as the policy does: only where nothing ran."""
+        """Retry as the policy does: only if the result proves that nothing ran."""
         may_retry = result in NEVER_RUN_RESULTS and self.up
         if may_retry and len(self.numbers_by_order[order]) < MAX_ATTEMPTS:
             self.send_attempt(order)
@@ -116,7 +116,7 @@
         if kind == "request":
             entry = self.journal.open_entry(self.session, number, self.now + 200 * MS)
             if entry:
-                self.running[number] = entry, order, self.now + int(self.draw() * 100 * MS)
+                self.running[number] = entry, order, self.now + int(self.next_random() * 100 * MS)
         elif kind == "status query":
             status, _ = self.journal.status_of(self.session, number)
             self.to_requester.append(("status", number, status))
@@ -155,8 +155,8 @@
                 self.handle_result(order, AttemptResult.RESET)
 
     def step(self):
-        self.now += int(self.draw() * 20 * MS)
-        event = self.draw()
+        self.now += int(self.next_random() * 20 * MS)
+        event = self.next_random()
         if event < 0.08:
             if self.up:
                 self.disconnect()
@@ -164,19 +164,19 @@
                 self.connect()
         elif event < 0.3 and self.up:
             self.send_attempt(len(self.numbers_by_order))
-        if self.late_messages and self.draw() < 0.3:
+        if self.late_messages and self.next_random() < 0.3:
             self.receive_at_responder(*self.late_messages.popleft())
-        if self.up and self.to_responder and self.draw() < 0.7:
+        if self.up and self.to_responder and self.next_random() < 0.7:
             self.receive_at_responder(*self.to_responder.popleft())
         self.run_due_requests()
-        if self.up and self.to_requester and self.draw() < 0.7:
+        if self.up and self.to_requester and self.next_random() < 0.7:
             self.receive_at_requester(*self.to_requester.popleft())
         self.end_overdue_requests()
         self.journal.expire(self.now)
 
 
 def simulate(journal_type, seeds):
-    """How many runs had an effect twice, or a result that was not so; and the requests that were served."""
+    """Count the runs with a repeated effect, those that served without an effect, and the served requests."""
     counts = Counter()
     for seed in seeds:
         simulation = Simulation(seed, journal_type(10_000, 10_000))
@@ -195,6 +195,6 @@
     assert counts["served"] > 10_000
 
 
-@pytest.mark.parametrize("journal_type", [JournalThatTakesLateRequests, JournalThatForgetsExpiry])
+@pytest.mark.parametrize("journal_type", [JournalAcceptingLateRequests, JournalForgettingExpiry])
 def test_the_simulation_finds_a_seeded_fault(journal_type):
     assert simulate(journal_type, range(300))["effect twice"]
--- a/tests/gateway/test_routes.py
+++ b/tests/gateway/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes: which regions are asked for an object, by rules and by who served it last."""
+"""Routes: the regions that a request is sent to, by rules and by the learned locations of objects."""
 
 import pytest
 
@@ -31,9 +31,7 @@
         (1, 3, ("west", "east"), []),
     ],
 )
-def test_regions_follow_rules_and_a_forwarded_request_is_not_forwarded_again(
-    object_id, group, via_regions, regions
-):
+def test_routes_follow_the_rules_and_never_forward_a_request_twice(object_id, group, via_regions, regions):
     routes = Routes("east", ["west", "south"], RULES, 4, 100)
     assert routes.regions_for(object_id, group, via_regions, 0) == regions
 
@@ -55,7 +53,7 @@
     assert list(cache.objects) == [(3, 0)]
 
 
-def test_learned_locations_expire_are_corrected_and_are_bounded():
+def test_learned_locations_expire_are_corrected_and_their_number_is_limited():
     routes = Routes("east", ["west"], [], 4, 100)
     for object_id in range(1, 7):
         routes.record_location(object_id, "west", 50)
