--- a/marbleglade/gateway/link/links.py
+++ b/marbleglade/gateway/link/links.py
@@ -201,7 +201,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SharedParts:
+class SharedComponents:
     """Components that are shared by the links and the message handlers of all regions.
 
     Attributes:
@@ -240,7 +240,7 @@
         gateways: Iterable[tuple[str, tuple[str, int]]],
         settings: LinkSettings,
         state: RegionState,
-        shared: SharedParts,
+        shared: SharedComponents,
     ) -> None:
         self.ends = ends
         self.settings = settings
--- a/marbleglade/gateway/region_wiring.py
+++ b/marbleglade/gateway/region_wiring.py
@@ -20,7 +20,7 @@
 from ..transport.connection_pool import PoolLimits
 from ..transport.upstream_client import UpstreamClient
 from .concurrency_limit import ConcurrencyLimit
-from .link.links import LinkEnds, LinkSettings, RegionLinks, RegionState, SharedParts
+from .link.links import LinkEnds, LinkSettings, RegionLinks, RegionState, SharedComponents
 from .partial_bodies import PartialBodies
 from .remote_region import RemoteRegion
 from .requester import Requester
@@ -45,7 +45,7 @@
         shared: The components that all handlers share.
     """
 
-    def __init__(self, deployment: LocalDeployment, start_ms: int, shared: SharedParts) -> None:
+    def __init__(self, deployment: LocalDeployment, start_ms: int, shared: SharedComponents) -> None:
         self._deployment = deployment
         self._start_ms = start_ms
         self._shared = shared
--- a/marbleglade/gateway/wiring.py
+++ b/marbleglade/gateway/wiring.py
@@ -20,7 +20,7 @@
 from ..transport.client_registry import ClientLimits
 from ..transport.discovery_watch import WatchClient
 from ..transport.event_sequence import WatchCallbacks
-from .link.links import SharedParts
+from .link.links import SharedComponents
 from .purge_log import PurgeSender
 from .region_events import RegionEvents
 from .region_router import RegionRouter
@@ -87,7 +87,7 @@
 
     def _connect_regions(self) -> None:
         """Create the request handlers of all regions and their router, and register them for events."""
-        shared = SharedParts(self.body_budget, self.region_events, self.guard, self.loop_monitor)
+        shared = SharedComponents(self.body_budget, self.region_events, self.guard, self.loop_monitor)
         wiring = RegionWiring(self._deployment, self.start_ms, shared)
         self._local_environment = local_environment(self._deployment, self.start_ms)
         self.upstream_client, local_handler = wiring.local_region(
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -8,7 +8,7 @@
 
 
 @pytest.fixture
-def east_alone(two_regions):
+def west_gateways_stopped(two_regions):
     """Two regions whose west gateways are stopped, so that a test can connect to the east in their names."""
     for name in ("west-1", "west-2"):
         two_regions.kill(name)
--- a/tests/gateway/test_link_input.py
+++ b/tests/gateway/test_link_input.py
@@ -38,8 +38,8 @@
         (hello_frame(gateway="west-9"), "no such gateway there"),
     ],
 )
-def test_a_gateway_that_is_not_in_the_deployment_is_refused(east_alone, hello, reason):
-    peer = LinkPeer(east_alone).send(hello, request_frame(1))
+def test_a_gateway_that_is_not_in_the_deployment_is_refused(west_gateways_stopped, hello, reason):
+    peer = LinkPeer(west_gateways_stopped).send(hello, request_frame(1))
     assert peer.receive(ConnectionRefused).why == reason
     assert peer.is_closed()
 
@@ -64,10 +64,10 @@
         HELLO + b"\0\0\0\4abcd",
     ],
 )
-def test_invalid_data_closes_only_its_own_connection(east_alone, data):
-    other = LinkPeer(east_alone).send(hello_frame(gateway="west-2"))
+def test_invalid_data_closes_only_its_own_connection(west_gateways_stopped, data):
+    other = LinkPeer(west_gateways_stopped).send(hello_frame(gateway="west-2"))
     assert other.receive(Hello).region == "east"
-    assert LinkPeer(east_alone).send(data).is_closed()
+    assert LinkPeer(west_gateways_stopped).send(data).is_closed()
     assert other.send(request_frame(1)).receive(ResponseHead).word == ResponseHead.SETTLED
 
 
@@ -79,16 +79,18 @@
         ({"thing": WEST | 4}, ResponseHead.LACKING),  # no such object in the east
     ],
 )
-def test_a_request_that_cannot_be_served_gets_a_response_and_the_link_stays_up(east_alone, changes, word):
-    peer = LinkPeer(east_alone).send(HELLO)
+def test_a_request_that_cannot_be_served_gets_a_response_and_the_link_stays_up(
+    west_gateways_stopped, changes, word
+):
+    peer = LinkPeer(west_gateways_stopped).send(HELLO)
     assert peer.send(request_frame(1, **changes)).receive(ResponseHead).word == word
     assert peer.send(request_frame(2)).receive(ResponseHead).word == ResponseHead.SETTLED
 
 
-def test_a_new_connection_replaces_the_older_one_and_continues_its_requests(east_alone):
-    first = LinkPeer(east_alone).send(HELLO, request_frame(1))
+def test_a_new_connection_replaces_the_older_one_and_continues_its_requests(west_gateways_stopped):
+    first = LinkPeer(west_gateways_stopped).send(HELLO, request_frame(1))
     assert first.receive(ResponseHead).number == 1
-    second = LinkPeer(east_alone).send(hello_frame(turn=2))
+    second = LinkPeer(west_gateways_stopped).send(hello_frame(turn=2))
     assert first.is_closed()
     second.send_messages(StatusQuery(number=1))
     assert second.receive(StatusReply).state == StatusReply.ANSWERED
@@ -97,8 +99,8 @@
     assert second.receive(StatusReply).state == StatusReply.NEVER
 
 
-def test_a_request_after_its_status_never_received_closes_the_link(east_alone):
-    peer = LinkPeer(east_alone).send(HELLO).send_messages(StatusQuery(number=7))
+def test_a_request_after_its_status_never_received_closes_the_link(west_gateways_stopped):
+    peer = LinkPeer(west_gateways_stopped).send(HELLO).send_messages(StatusQuery(number=7))
     assert peer.receive(StatusReply).state == StatusReply.NEVER
     assert peer.send(request_frame(7)).is_closed()
 
@@ -116,9 +118,9 @@
         [b"HTTP/1.1 400 Bad Request\r\n\r\n"],
     ],
 )
-def test_an_invalid_reply_closes_the_link_and_the_local_region_is_served(east_alone, reply):
+def test_an_invalid_reply_closes_the_link_and_the_local_region_is_served(west_gateways_stopped, reply):
     """A stand-in replies on the address of a gateway that was stopped."""
-    listener = listening_socket(("127.0.0.1", east_alone.west.ports["west-1"][LINK_PORT]))
+    listener = listening_socket(("127.0.0.1", west_gateways_stopped.west.ports["west-1"][LINK_PORT]))
     closed = []
 
     def reply_to_all():
@@ -131,14 +133,16 @@
 
     replying = gevent.spawn(reply_to_all)
     wait_until(lambda: len(closed) > 1)
-    assert not any(link.up for link in east_alone.links())
-    assert version_after_retries(east_alone.client(), 8) == 1
+    assert not any(link.up for link in west_gateways_stopped.links())
+    assert version_after_retries(west_gateways_stopped.client(), 8) == 1
     replying.kill()
     listener.close()
 
 
 @pytest.mark.parametrize("body", [0, 10])
-def test_the_deadline_of_a_forwarded_request_counts_from_its_arrival(east_alone, monkeypatch, body):
+def test_the_deadline_of_a_forwarded_request_counts_from_its_arrival(
+    west_gateways_stopped, monkeypatch, body
+):
     """The process is blocked for 0.4 s before it reads the request, so the timeout is shortened by that."""
     timeouts_ms = []
     respond = StandInUpstream._respond
@@ -149,7 +153,7 @@
         return respond(upstream, request)
 
     monkeypatch.setattr(StandInUpstream, "_respond", record_timeout)
-    peer = LinkPeer(east_alone).send(HELLO)
+    peer = LinkPeer(west_gateways_stopped).send(HELLO)
     peer.receive(Hello)
     gevent.sleep(0.1)
     peer.send(request_frame(1, thing=1 << 20 | 4, within_ms=2000, body=body))
