--- a/tests/transport/test_endless_senders.py
+++ b/tests/transport/test_endless_senders.py
@@ -75,7 +75,7 @@
 
 
 def read_partial_frame(front, sock):
-    front.client_listener.reader._process = lambda _client, _data, _earliest_arrival: None
+    front.client_listener.reader._decode_and_dispatch = lambda _client, _data, _earliest_arrival: None
     read_client(front, sock, input_ended=False)
 
 
