--- a/marbleglade/control/front_client/__init__.py
+++ b/marbleglade/control/front_client/__init__.py
@@ -1,1 +1,1 @@
-"""A front's client of the control plane: node selection, connections, event dispatch, confirmations."""
+"""The control plane client of a front: node selection, connections, event dispatch and confirmations."""
--- a/marbleglade/control/front_client/age_limit.py
+++ b/marbleglade/control/front_client/age_limit.py
@@ -1,4 +1,4 @@
-"""Limits the age of cached objects that the front may serve while it may have missed purges."""
+"""Limits the age of the cached objects that a front may serve while it may have missed purges."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 
 
 class AgeLimiter:
-    """Applies the limit of a `PurgeCoverage` to the front.
+    """Applies the age limit computed by a `PurgeCoverage` to the front.
 
     Args:
-        coverage: Since when purges may have been missed.
-        target: The front.
-        guard: Counters and log.
+        coverage: Tracks since when the front may have missed purges.
+        target: The front that serves the cached objects.
+        guard: Provides the counters and the log.
+
+    Attributes:
+        limit: The maximum age in force, in nanoseconds; 0 without a limit.
     """
 
     def __init__(self, coverage: PurgeCoverage, target: ControlTarget, guard: ErrorGuard) -> None:
@@ -23,19 +26,19 @@
         self._target = target
         self._counters = guard.counters
         self._log = guard.log
-        self.limit = 0  # nanoseconds; 0: none
+        self.limit = 0
 
     def next_change_at(self) -> int | None:
-        """Return when the limit begins unless a source is complete before; None while it is in force."""
+        """Return when the limit starts unless the front catches up before; None while it is in force."""
         return None if self.limit else self._coverage.expires_at
 
-    def record_complete(self, now: int) -> bool:
-        """Record that a source is complete; return whether that ends the limit."""
-        self._coverage.record_complete(now)
+    def record_caught_up(self, now: int) -> bool:
+        """Record that the front caught up with a source; return whether a limit in force is to be lifted."""
+        self._coverage.record_caught_up(now)
         return bool(self.limit)
 
     def apply(self, now: int) -> None:
-        """Set the front's limit if it has changed."""
+        """Set the limit at the front if it differs from the one in force."""
         limit = self._coverage.age_limit(now)
         if limit == self.limit:
             return
@@ -45,8 +48,8 @@
         self._log.info("control", age_limit_ms=limit // MILLISECOND_NS)
 
     def status(self, now: int) -> AgeLimitStatus:
-        """Return the state for the log line of counters."""
+        """Return the fields for the periodic `counters` log event."""
         return {
             "age_limit_ms": self.limit // MILLISECOND_NS,
-            "complete_ms": (now - self._coverage.complete_at) // MILLISECOND_NS,
+            "complete_ms": (now - self._coverage.caught_up_at) // MILLISECOND_NS,
         }
--- a/marbleglade/control/front_client/client.py
+++ b/marbleglade/control/front_client/client.py
@@ -1,7 +1,8 @@
-"""A front's client of the control plane: follows two nodes, and applies what the source in force sends.
+"""The control plane client of a front: follows two control nodes and applies their events.
 
-The rules are in modules without I/O: `selection` (which nodes), `stream_progress` (what may be confirmed),
-`list_sources` (which list is in force) and `event_dispatch` (each event once).
+The rules are in modules without I/O: `node_selection` (which nodes to connect to), `stream_progress` (which
+events may be confirmed), `list_sources` (which list of caches is in force) and `event_dispatch` (each event
+is applied once).
 """
 
 from __future__ import annotations
@@ -37,19 +38,19 @@
     """Follows the control plane for one front.
 
     Args:
-        settings: The control plane.
-        name: The front's name, as the settings list it.
+        settings: The settings of the control plane.
+        name: The front's name, as listed in the settings.
         start_ms: When the front started, in Unix milliseconds.
-        target: The front.
+        target: The front to which events are applied.
         guard: Counts and logs exceptions.
-        discovery: The front's own watch of the discovery service; it must be running.
-        loop: The monitored event loop; without one, unread events are looked for before each attempt.
-        apply_load_view: Called with each encoded load view of the primary node; without it they are ignored.
+        discovery: The front's own watch of the discovery service; it must already be running.
+        loop: Monitor of the event loop; without one, unread events are looked for before each attempt.
+        apply_load_view: Called with each encoded load view of the primary node; None: they are ignored.
 
     Attributes:
-        primary: The node whose lists are in force, and which load reports go to.
+        primary: Name of the node whose list of caches is in force and to which load reports are sent.
         discovery_running: Whether the front's own watch of the discovery service is in use.
-        leaving: Whether the front shuts down.
+        leaving: Whether the front is shutting down.
     """
 
     def __init__(
@@ -89,10 +90,10 @@
         self._closed = False
         self._apply_load_view = apply_load_view
 
-    # The loop
+    # Main loop
 
     def run(self) -> None:
-        """Maintain the connections until `close`."""
+        """Maintain the connections until `close` is called."""
         while not self._closed:
             self._guard.call("control", self._tick)
             self._wake.wait(self._time_to_next_tick(clock.now()) / SECOND_NS)
@@ -103,7 +104,7 @@
         if not self.leaving:
             self._nodes.update(now)
         self._choose_primary()
-        self._choose_discovery()
+        self._pause_or_resume_discovery()
         self._age_limiter.apply(now)
 
     def _time_to_next_tick(self, now: int) -> int:
@@ -114,7 +115,7 @@
         )
         return max(MILLISECOND_NS, min(time for time in times if time is not None) - now)
 
-    # The source in force
+    # Choice of the active source
 
     def _choose_primary(self) -> None:
         listed = {name for name in self._nodes.listed() if self._lists.has_list(self._stream(name))}
@@ -130,7 +131,7 @@
     def _stream(self, name: str) -> str:
         return self._nodes.states[name].progress.stream
 
-    def _choose_discovery(self) -> None:
+    def _pause_or_resume_discovery(self) -> None:
         current = self._nodes.current()
         if self.discovery_running and self.primary in current:
             self.discovery_running = False
@@ -143,14 +144,17 @@
             self._counters.add("control.discovery_resumed")
             self._log.info("control", source="discovery")
 
-    def _record_complete(self) -> None:
-        if self._age_limiter.record_complete(clock.now()):
+    def _record_caught_up(self) -> None:
+        if self._age_limiter.record_caught_up(clock.now()):
             self._wake.set()
 
-    # Lines of the nodes, as a `NodeListener`
+    # Implementation of `NodeListener`
 
     def on_greeting(self, connection: NodeConnection, greeting: Greeting) -> None:
-        """Handle the greeting of a node: repeat the answer to its last configuration version."""
+        """Handle the greeting of a node, and resend the answer to its last configuration version.
+
+        The answer may have been lost with the previous connection.
+        """
         name = connection.node.name
         state = self._nodes.states[name]
         self._selection.record_connected(name, clock.now())
@@ -164,7 +168,7 @@
         self._wake.set()
 
     def on_event(self, connection: NodeConnection, event: NumberedEvent) -> None:
-        """Apply an event of a node, once at most, and count its index as applied."""
+        """Apply an event of a node at most once, and record its index as applied."""
         progress = connection.progress
         if not progress.is_new(event.index):
             self._counters.add("control.duplicate_event")
@@ -191,23 +195,26 @@
             connection.send(answer)
 
     def on_heartbeat(self, connection: NodeConnection, index: int) -> None:
-        """Handle a heartbeat with the index of the node's last event."""
+        """Handle a heartbeat, which has the index of the last event of the node."""
         connection.progress.record_heartbeat(index)
-        if connection.progress.complete:
-            self._record_complete()
+        if connection.progress.caught_up:
+            self._record_caught_up()
             if not connection.current:
                 connection.current = True
                 connection.listed = True
-                self._lists.complete(connection.progress.stream)
+                self._lists.record_caught_up(connection.progress.stream)
                 self._wake.set()
 
     def on_load_view(self, connection: NodeConnection, data: bytes) -> None:
-        """Pass on the load view of the primary node; those of others are dropped."""
+        """Apply a load view if the primary node sent it; drop load views of other nodes."""
         if self._apply_load_view and connection.node.name == self.primary:
             self._apply_load_view(data)
 
     def report(self, data: bytes) -> bool:
-        """Send an encoded load report to the primary node, which answers with a view; False without one."""
+        """Send an encoded load report to the primary node, which answers with a load view.
+
+        Return False if no primary node is connected or the front is shutting down.
+        """
         connection = self._nodes.get(self.primary) if self.primary else None
         if connection is None or not connection.greeted or self.leaving:
             return False
@@ -217,7 +224,7 @@
     # The discovery service
 
     def add_known_change(self, change: EndpointListChange) -> None:
-        """Record a list change that the front was started with and has applied."""
+        """Record a list change from the start-up configuration, which the front has already applied."""
         self._lists.add_known_change(change)
 
     def handle_discovery_event(self, event: EndpointListChange | Purge) -> None:
@@ -225,8 +232,8 @@
         self._dispatcher.handle_discovery_event(event)
 
     def handle_discovery_complete(self) -> None:
-        """Handle that all events up to the discovery service's last index were handled."""
-        self._record_complete()
+        """Handle that the front has caught up with the last index of the discovery service."""
+        self._record_caught_up()
         if self.discovery_running and self.primary is None and self._lists.active != DISCOVERY:
             self._lists.activate(DISCOVERY)
             self._log.info("control", list_source="discovery")
@@ -234,28 +241,31 @@
     # Shutdown and status
 
     def leave(self) -> None:
-        """Announce to the nodes that the front shuts down, and confirm nothing any more."""
+        """Announce the shutdown of the front to the nodes, and stop confirming events."""
         self.leaving = True
         self._nodes.leave()
 
     def close(self) -> None:
-        """End all connections and the loop; for hosts of many clients, as a process ends with its front."""
+        """Close all connections and end the loop.
+
+        Only a process that hosts several clients needs this. A front's process exits without it.
+        """
         self._closed = True
         self.leaving = True
         self._nodes.close()
         self._wake.set()
 
     def apply_pending_events(self) -> None:
-        """Handle events that have reached this machine and may have been unread for long."""
+        """Apply events that may have been waiting unread in the receive buffers for too long."""
         self._nodes.apply_pending_events()
 
     @property
     def last_line_at(self) -> int:
-        """When a node last sent a line, in nanoseconds; 0: never."""
+        """When a greeted node last sent a line other than a load view, in nanoseconds; 0 if none did."""
         return self._nodes.last_line_at
 
     def status(self) -> ControlClientStatus:
-        """Return the state for the log line of counters."""
+        """Return the fields for the periodic `counters` log event."""
         now = clock.now()
         return {
             "primary": self.primary,
--- a/marbleglade/control/front_client/client_status.py
+++ b/marbleglade/control/front_client/client_status.py
@@ -1,4 +1,4 @@
-"""The status of a front's client of the control plane, as the log line of counters has it."""
+"""The status of a front's control plane client, as written to the periodic `counters` log event."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 class AgeLimitStatus(TypedDict):
-    """The limit on the age of cached objects; 0 ms: none.
+    """The limit on the age of cached objects, in milliseconds.
 
-    `complete_ms` is the time since some source was last known to have sent everything.
+    `age_limit_ms` is 0 without a limit. `complete_ms` is the time since the front last caught up with a
+    source.
     """
 
     age_limit_ms: int
@@ -16,7 +17,7 @@
 
 
 class ConnectionStatus(TypedDict):
-    """One connection to a node; attributes as in `NodeConnection` and `StreamProgress`."""
+    """One connection to a node; the fields are described in `NodeConnection` and `StreamProgress`."""
 
     node: str
     greeted: bool
@@ -27,7 +28,7 @@
 
 
 class BackoffStatus(TypedDict):
-    """A node in backoff: why its last connection ended, and when the next attempt follows."""
+    """A node in backoff: why its last connection ended, and the time until the next connection attempt."""
 
     node: str
     reason: str
@@ -35,7 +36,11 @@
 
 
 class ControlClientStatus(AgeLimitStatus):
-    """The client; `primary` is the node whose lists are in force, `version` that of the configuration."""
+    """The status of the client.
+
+    `primary` is the node whose list of caches is in force, `version` the configuration version in force.
+    `discovery` is true while the front's own watch of the discovery service is in use.
+    """
 
     primary: str | None
     discovery: bool
--- a/marbleglade/control/front_client/connection.py
+++ b/marbleglade/control/front_client/connection.py
@@ -1,4 +1,4 @@
-"""One connection from a front to a control node."""
+"""A connection from a front to a control node."""
 
 from __future__ import annotations
 
@@ -36,68 +36,71 @@
 from .stream_progress import StreamProgress
 
 CONNECT_TIMEOUT_S = 1.0
-MIN_WAIT_S = 0.001  # so that received data is read before a node counts as silent
-LINES_PER_TURN = 32  # before other greenlets run
+MIN_WAIT_S = 0.001  # data that has been received is read before the node is treated as silent
+LINES_PER_TURN = 32  # handled before the connection yields to other greenlets
 
 
 class NotAControlNodeError(Exception):
-    """The server is no control node of this deployment; the message has the reason."""
+    """The server is not the expected control node of this deployment; the message states the reason."""
 
 
 class SilentNodeError(Exception):
-    """The node sent no complete line for too long."""
+    """The node sent no complete line within the silence timeout."""
 
 
 def check_greeting(message: StreamLine, deployment: str, node: str) -> Greeting:
-    """Check and return the first line of a node.
+    """Check that the first line of a server is the greeting of the expected node, and return it.
 
     Raises:
-        NotAControlNodeError: It is no greeting of that node and deployment.
+        NotAControlNodeError: The line is not a greeting, or names another deployment or node.
     """
     if not isinstance(message, Greeting):
-        raise NotAControlNodeError("its first line is no greeting")
+        raise NotAControlNodeError("the first line is not a greeting")
     if message.deployment != deployment:
-        raise NotAControlNodeError(f"it serves the deployment {message.deployment}")
+        raise NotAControlNodeError(
+            f"the server belongs to deployment {message.deployment}, expected {deployment}"
+        )
     if message.node != node:
-        raise NotAControlNodeError(f"it is the node {message.node}")
+        raise NotAControlNodeError(f"the server is node {message.node}, expected {node}")
     return message
 
 
 class NodeListener(Protocol):
-    """Handles the lines of a connection. An exception that it raises ends the connection."""
+    """Handles the messages of a connection. An exception raised by a method ends the connection."""
 
     def on_greeting(self, connection: NodeConnection, greeting: Greeting) -> None:
-        """The node greeted the front."""
+        """Handle the greeting of the node."""
 
     def on_event(self, connection: NodeConnection, event: NumberedEvent) -> None:
-        """The node sent an event."""
+        """Handle an event."""
 
     def on_heartbeat(self, connection: NodeConnection, index: int) -> None:
-        """The node sent the index of its last event."""
+        """Handle a heartbeat with the index of the last event of the node."""
 
     def on_load_view(self, connection: NodeConnection, data: bytes) -> None:
-        """The node sent the load view for this front, encoded as between fronts."""
+        """Handle a load view for this front, in the encoding that fronts use between each other."""
 
 
 class NodeConnection:
     """Follows one node until the connection ends.
 
     Args:
-        node: Where to connect.
-        progress: How far this node's stream was applied; survives the connection.
-        hello: The front's name and start; the stream is filled in here.
-        deployment: The deployment that the node must serve.
+        node: The node to connect to.
+        progress: How far the node's stream was applied; kept from one connection to the next.
+        hello: The front's name and start; its stream is replaced by the one to resume.
+        deployment: The deployment that the node must be part of.
         silence_timeout: Nanoseconds without a complete line after which the node counts as silent.
-        listener: Receives what the node sends.
-        loop: The monitored event loop.
+        listener: Handles the messages of the node.
+        loop: Monitor of the event loop.
 
     Attributes:
-        greeted: The node has greeted the front.
-        current: Everything that the node had was applied at some time.
-        listed: The node sent a complete list, or everything that it had was applied.
-        released: It is closed as surplus.
-        confirming: Applied events are confirmed.
-        last_line_at: When the last line arrived that proves the node alive, in nanoseconds; 0: none yet.
+        greeted: Whether the node has greeted the front.
+        current: Whether the front has caught up with the node at least once on this connection.
+        listed: Whether the node has sent a complete list of caches, or the front has caught up with it.
+        closed_as_surplus: Whether the connection was closed because it is no longer needed.
+        confirming: Whether applied events are confirmed to the node.
+        last_line_at: When the last line other than a load view was handled, in nanoseconds. The time of
+            connecting before the first such line, 0 before that.
     """
 
     def __init__(
@@ -119,24 +122,24 @@
         self._sock: socket.socket | None = None
         self._arrivals = ArrivalBound(loop, loop.last_tick)
         self._buffer = LineBuffer()
-        self._lines: deque[bytes] = deque()  # complete, and not handled yet
-        self._error: Exception | None = None  # raised by `apply_pending_events`
+        self._lines: deque[bytes] = deque()  # complete lines that were not handled yet
+        self._error: Exception | None = None  # from `apply_pending_events`, for `run` to raise
         self.greeted = False
         self.current = False
         self.listed = False
-        self.released = False
+        self.closed_as_surplus = False
         self.confirming = True
         self.last_line_at = 0
 
     def run(self) -> None:
-        """Connect, and handle lines until the connection ends; it always ends with an exception.
+        """Connect, and handle lines until the connection ends, which always raises an exception.
 
         Raises:
-            OSError: The connection failed or was closed.
+            OSError: Connecting failed, or the connection was closed.
             InvalidLineError: The node sent an invalid line.
-            SilentNodeError: The node sent no complete line for too long.
-            SequenceError: The indices of the stream have a gap.
-            NotAControlNodeError: The server is no control node of this deployment.
+            SilentNodeError: The node sent no complete line within the silence timeout.
+            SequenceError: The indices of the stream have a gap or decrease.
+            NotAControlNodeError: The server is not the expected control node of this deployment.
         """
         sock = self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
@@ -161,7 +164,7 @@
             self._sock.close()
 
     def send(self, request: Request) -> None:
-        """Send one line without waiting; the connection is closed if the send buffer is full."""
+        """Send one line without blocking; close the connection if the send buffer has no room for it."""
         if not self._sock:
             return
         line = encode_request(request)
@@ -172,7 +175,7 @@
             self._sock.close()
 
     def apply_pending_events(self) -> None:
-        """Handle lines that have reached this machine and may have been unread for long."""
+        """Handle lines that may have been waiting unread in the receive buffer for too long."""
         following = self._sock and self.last_line_at
         if not following or not self._arrivals.may_have_waited(clock.now(), MAX_UNREAD_NS):
             return
@@ -183,11 +186,11 @@
                     return  # `run` handles the end of the stream
                 self._lines += self._buffer.split(data)
         except Exception as error:
-            self._error = error  # `run` raises it
+            self._error = error  # raised by `run`
             self.close()
 
     def status(self) -> ConnectionStatus:
-        """Return the state for the log line of counters."""
+        """Return the fields for the periodic `counters` log event."""
         return {
             "node": self.node.name,
             "greeted": self.greeted,
@@ -205,30 +208,30 @@
                 if self._lines:
                     gevent.sleep(0)
             if clock.now() - self.last_line_at > self._silence_timeout:
-                raise SilentNodeError("no complete line")
+                raise SilentNodeError("no complete line within the silence timeout")
             self._confirm()
 
     def _chunks(self, sock: socket.socket) -> Iterator[bytes]:
-        """Yield received bytes; none when a confirmation is due or the node may be silent."""
+        """Yield received data, or empty bytes when a confirmation is due or the node may be silent."""
         while True:
-            sock.settimeout(self._wait_s())
+            sock.settimeout(self._wait_seconds())
             try:
                 data: memoryview | None = READ_BUFFER[: sock.recv_into(READ_BUFFER)]
             except TimeoutError:
-                # After a pause of this process the timeout fires before unread data is seen, and the node
-                # would count as silent.
+                # After a pause of this process the timeout fires before unread data is noticed. Without this
+                # read the node would be treated as silent.
                 data = receive_available(sock)
             if data is None:
                 yield b""
                 continue
             if not data:
-                raise ConnectionResetError("closed by the node")
+                raise ConnectionResetError("the node closed the connection")
             self._arrivals.record_read(len(data) < len(READ_BUFFER))
             yield bytes(data)
             self._arrivals.start_waiting()
 
-    def _wait_s(self) -> float:
-        """Return the seconds until a confirmation is due or the node counts as silent."""
+    def _wait_seconds(self) -> float:
+        """Return the seconds until a confirmation is due or the silence timeout of the node ends."""
         now = clock.now()
         wake_at = self.last_line_at + self._silence_timeout
         confirmation_at = self.progress.next_confirmation_at() if self._may_confirm() else None
@@ -237,14 +240,15 @@
         return max(MIN_WAIT_S, (wake_at - now) / SECOND_NS)
 
     def _handle_lines(self, limit: int | None = None) -> None:
-        """Handle `limit` lines in their order, or all."""
+        """Handle the next lines in order, at most `limit` of them, or all lines if `limit` is None."""
         count = len(self._lines) if limit is None else min(limit, len(self._lines))
         for _ in range(count):
             self._handle_line(self._lines.popleft())
 
     def _handle_line(self, line: bytes) -> None:
         message = decode_stream_line(line)
-        # A node sends load views also while it receives nothing of its discovery service.
+        # Load views don't show that the node is up to date: it also sends them while it receives nothing from
+        # its discovery service.
         if not isinstance(message, LoadView):
             self.last_line_at = clock.now()
         if not self.greeted:
@@ -254,7 +258,7 @@
         elif isinstance(message, LoadView):
             self._listener.on_load_view(self, message.data)
         elif isinstance(message, Greeting):
-            raise InvalidLineError("a second greeting")
+            raise InvalidLineError("received a second greeting on one connection")
         else:
             self._listener.on_event(self, message)
 
--- a/marbleglade/control/front_client/deduplication.py
+++ b/marbleglade/control/front_client/deduplication.py
@@ -1,23 +1,29 @@
-"""Detects purges that another source sent before, by their identity. Without I/O."""
+"""Detects purges that were already received from another source. Without I/O."""
 
 from __future__ import annotations
 
 from ...model.watch_event import NEVER, Purge
 
-MAX_RECENT_PURGES = 1 << 14  # in each of the two sets
+MAX_RECENT_PURGES = 1 << 14  # in each of the two generations
 
 PurgeIdentity = tuple[int, int, int]
 
 
 def purge_identity(purge: Purge) -> PurgeIdentity | None:
-    """Return what two copies of a purge from different streams share; None if its time can't be read."""
+    """Return a key that is equal for copies of one purge in different streams.
+
+    Return None if the time of the purge is not known, since copies can't be recognised then.
+    """
     if purge.unix_ms >= NEVER:
         return None
     return purge.object_id, 0 if purge.object_id else purge.group, purge.unix_ms
 
 
 class RecentPurges:
-    """The latest purges, in two generations: when the newer one is full, the older one is dropped."""
+    """The identities of recent purges, in two generations.
+
+    When the newer generation is full, the older one is dropped.
+    """
 
     def __init__(self, size: int = MAX_RECENT_PURGES) -> None:
         self.size = size
@@ -25,7 +31,7 @@
         self._previous: set[PurgeIdentity] = set()
 
     def is_duplicate(self, purge: Purge) -> bool:
-        """Return whether this purge was recorded lately."""
+        """Return whether this purge is among the recorded ones."""
         key = purge_identity(purge)
         return key in self._current or key in self._previous
 
--- a/marbleglade/control/front_client/delta_merge.py
+++ b/marbleglade/control/front_client/delta_merge.py
@@ -1,8 +1,8 @@
 """Merges changes of the list of caches into one equivalent change, without I/O.
 
-While the history of the discovery service is replayed its changes are merged first, so that no cache that
-was removed meanwhile is used again. The list of every control node is merged, so that it can be activated at
-once.
+While the event history of the discovery service is replayed, its changes are merged before they are applied,
+so that no cache that was removed meanwhile is used again. The list of every control node is merged as well,
+so that it can be activated at once.
 """
 
 from __future__ import annotations
@@ -12,22 +12,22 @@
 from ...model.upstream import UpstreamState
 from ...model.watch_event import Endpoint, EndpointListChange
 
-MAX_CACHES = 1 << 14  # in one list; a change beyond that is rejected
+MAX_CACHES = 1 << 14  # in one list; a change that would exceed it is rejected
 
 
 class ListTooLongError(Exception):
-    """The list of caches exceeds `MAX_CACHES`."""
+    """A list of caches would exceed `MAX_CACHES`."""
 
 
 @dataclass(slots=True)
 class MergedListChange:
-    """The sum of list changes.
+    """The result of merging list changes.
 
     Attributes:
-        complete: A complete list is among them; removed caches are dropped from then on.
-        index: The index of the last change.
-        endpoints: The latest entry of each cache, by its id.
-        unreadable: The ids of caches whose latest entry could not be read, in their order.
+        complete: Whether a complete list was merged. If so, caches removed since are not stored.
+        index: The index of the last merged change.
+        endpoints: The latest entry of each cache, by cache id.
+        unreadable: The ids of caches whose latest entry could not be read, in order of arrival.
     """
 
     complete: bool = False
@@ -36,19 +36,19 @@
     unreadable: dict[str, None] = field(default_factory=dict)
 
     def add(self, change: EndpointListChange) -> None:
-        """Add the next change.
+        """Merge the next change.
 
         Raises:
-            ListTooLongError: It does not fit, and nothing was added.
+            ListTooLongError: The list would become too long; the change was not merged.
         """
         if not self._fits(change):
             self._drop_removed()
         if not self._fits(change):
-            raise ListTooLongError(f"over {MAX_CACHES} caches")
+            raise ListTooLongError(f"the list would exceed {MAX_CACHES} caches")
         if change.complete:
             self.complete, self.endpoints, self.unreadable = True, {}, {}
         for endpoint in change.endpoints:
-            self._put(endpoint)
+            self._store_latest(endpoint)
         for cache_id in change.unreadable:
             self.unreadable[cache_id] = None
         self.index = change.index
@@ -62,7 +62,7 @@
         for cache_id in removed:
             del self.endpoints[cache_id]
 
-    def _put(self, endpoint: Endpoint) -> None:
+    def _store_latest(self, endpoint: Endpoint) -> None:
         self.unreadable.pop(endpoint.id, None)
         if self.complete and _is_removed(endpoint):
             self.endpoints.pop(endpoint.id, None)
@@ -71,11 +71,11 @@
 
     @property
     def empty(self) -> bool:
-        """Whether nothing was added."""
+        """Whether the merged change is not a complete list and has no entries."""
         return not (self.complete or self.endpoints or self.unreadable)
 
     def as_change(self) -> EndpointListChange:
-        """Return all changes as one."""
+        """Return the merged changes as a single change."""
         return EndpointListChange(
             self.index, self.complete, list(self.endpoints.values()), list(self.unreadable)
         )
--- a/marbleglade/control/front_client/event_dispatch.py
+++ b/marbleglade/control/front_client/event_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatches the events of all sources to the front: each once at most, and in order. Without I/O."""
+"""Dispatches the events of all sources to the front, each at most once and in order. Without I/O."""
 
 from __future__ import annotations
 
@@ -19,11 +19,15 @@
 
 
 class EventDispatcher:
-    """Applies purges once, lists of the source in force, and configuration versions in rising order.
+    """Applies each purge once, the list of the active source, and configuration versions in rising order.
 
     Args:
-        target: The front.
-        guard: Counters and log.
+        target: The front to which events are applied.
+        guard: Provides the counters and the log.
+
+    Attributes:
+        lists: The lists of caches of all sources.
+        versions: The configuration versions.
     """
 
     def __init__(self, target: ControlTarget, guard: ErrorGuard) -> None:
@@ -31,21 +35,26 @@
         self._counters = guard.counters
         self._log = guard.log
         self._recent = RecentPurges()
-        self._last_discovery_index = 0  # of the last event of the discovery service
+        self._last_discovery_index = 0
         self.lists = ListSources(target.apply, target.withdraw)
         self.versions = ConfigurationVersions(target.configure)
 
     def begin_stream(self, progress: StreamProgress, greeting: Greeting) -> None:
-        """Begin or resume a node's stream; `progress` must have recorded the greeting."""
+        """Begin or resume the stream of a node.
+
+        Args:
+            progress: Progress of the stream, which must already have recorded the greeting.
+            greeting: The greeting of the node.
+        """
         if greeting.snapshot_to:
             self.lists.begin_snapshot(greeting.stream)
         elif not progress.applied:
-            self.lists.begin_empty(greeting.stream)
+            self.lists.begin_full_replay(greeting.stream)
 
     def apply(self, stream: str, event: NumberedEvent) -> ConfigurationApplied | ConfigurationRejected | None:
-        """Apply an event of a control node; return the answer to a configuration version.
+        """Apply an event of a control node, and return the answer if it is a configuration version.
 
-        Exceptions of the front pass through: the event was not applied then.
+        Exceptions of the front are passed on to the caller; the event was not applied then.
         """
         match event:
             case Purge():
--- a/marbleglade/control/front_client/list_sources.py
+++ b/marbleglade/control/front_client/list_sources.py
@@ -1,8 +1,9 @@
-"""Which source's list of caches is in force at a front, without I/O.
+"""Decides which source's list of caches is in force at a front, without I/O.
 
-One source at a time is active: the primary control node, or the discovery service. The changes of the others
-are merged meanwhile, so that any of them can take over at once. A cache that one of the others withdraws is
-withdrawn at once, until the active source has withdrawn it too, or the cache has started again.
+One source at a time is active: the primary control node or the discovery service. The changes of the other
+sources are merged meanwhile, so that any of them can take over at once. If another control node lists a cache
+as draining or removed, the front stops using that cache at once and doesn't use it again before the active
+source has withdrawn it too or the cache has started again.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from .delta_merge import MergedListChange
 from .withdrawals import Withdrawals, is_withdrawn
 
-DISCOVERY = "discovery"  # the stream of the source that is not a control node
+DISCOVERY = "discovery"  # stands for the stream of the discovery service
 
 
 class ListSources:
@@ -23,7 +24,13 @@
 
     Args:
         apply: Called with the list changes of the active source.
-        on_withdrawn: Called with caches that another source withdrew first.
+        on_withdrawn: Called with caches that a control node that is not active was the first to withdraw.
+
+    Attributes:
+        active: The stream of the active source; None while the list of the discovery service is incomplete
+            after its restart.
+        merged: The merged list of each source, by its stream.
+        withdrawals: The caches that sources listed as draining or removed.
     """
 
     def __init__(
@@ -34,39 +41,45 @@
         self.active: str | None = DISCOVERY
         self.merged: dict[str, MergedListChange] = {DISCOVERY: MergedListChange()}
         self.withdrawals = Withdrawals()
-        self._ahead_of_snapshot: dict[str, MergedListChange] = {}
-        self._from_start: set[str] = set()
+        self._changes_during_snapshot: dict[str, MergedListChange] = {}
+        self._full_replays: set[str] = set()
 
     def has_list(self, stream: str) -> bool:
         """Return whether the stream has sent a complete list."""
         return stream in self.merged and self.merged[stream].complete
 
     def forget(self, stream: str) -> None:
-        """Drop the list of a stream that is not followed any more."""
+        """Drop the list of a stream that is no longer followed."""
         self.merged.pop(stream, None)
-        self._ahead_of_snapshot.pop(stream, None)
-        self._from_start.discard(stream)
+        self._changes_during_snapshot.pop(stream, None)
+        self._full_replays.discard(stream)
 
     def begin_snapshot(self, stream: str) -> None:
-        """Begin a snapshot. Live changes that arrive before its complete list are newer than the list."""
-        self._ahead_of_snapshot[stream] = MergedListChange()
+        """Begin a snapshot.
+
+        Live changes that arrive before the complete list of the snapshot are newer than that list.
+        """
+        self._changes_during_snapshot[stream] = MergedListChange()
+
+    def begin_full_replay(self, stream: str) -> None:
+        """Record that the stream is received from its first event on, without a snapshot."""
+        self._full_replays.add(stream)
 
-    def begin_empty(self, stream: str) -> None:
-        """Record that a stream is followed from its first event on."""
-        self._from_start.add(stream)
+    def record_caught_up(self, stream: str) -> None:
+        """Record that the front has caught up with a stream.
 
-    def complete(self, stream: str) -> None:
-        """Record that a stream was received up to its end: its events from the first one on are a list."""
-        if stream in self._from_start and stream in self.merged:
+        If the stream was received from its first event on, its merged changes are a complete list then.
+        """
+        if stream in self._full_replays and stream in self.merged:
             self.merged[stream].complete = True
 
     def handle_change(self, stream: str, change: EndpointListChange) -> None:
-        """Handle the next change of a stream."""
-        if newer := self._ahead_of_snapshot.get(stream):
+        """Merge the next list change of a stream, and apply it if the stream is active."""
+        if newer := self._changes_during_snapshot.get(stream):
             if not change.complete:
                 newer.add(change)
             else:
-                del self._ahead_of_snapshot[stream]
+                del self._changes_during_snapshot[stream]
                 self._add(stream, change)
                 change = newer.as_change()
                 if newer.empty:
@@ -81,10 +94,10 @@
             self._withdraw(stream, change)
 
     def activate(self, stream: str) -> None:
-        """Make a stream the active source: its merged list is applied as one change.
+        """Make a stream the active source, and apply its merged list as one change.
 
-        The discovery service is activated only once it was received up to its last index. All lists originate
-        there, so its list then overrides earlier withdrawals.
+        The discovery service may only be activated once the front has caught up with it. All lists originate
+        from it, so that its list overrides earlier withdrawals then.
         """
         merged = self.merged[stream]
         self.active = stream
@@ -96,20 +109,23 @@
             self._forward(stream, merged.as_change())
 
     def handle_discovery_restart(self) -> None:
-        """Handle that the discovery service counts from 1 again: its list waits until it is complete."""
+        """Handle that the indices of the discovery service start at 1 again.
+
+        Its list is not applied before the front has caught up with it.
+        """
         self.merged[DISCOVERY] = MergedListChange()
         if self.active == DISCOVERY:
             self.active = None
 
     def add_known_change(self, change: EndpointListChange) -> None:
-        """Record a change of the discovery service that the front was started with and has applied."""
+        """Record a list change from the start-up configuration, which the front has already applied."""
         self.merged[DISCOVERY].add(change)
 
     def _forward(self, stream: str, change: EndpointListChange) -> None:
-        endpoints = [self._checked(endpoint, stream) for endpoint in change.endpoints]
+        endpoints = [self._apply_withdrawal(endpoint, stream) for endpoint in change.endpoints]
         self._apply(replace(change, endpoints=endpoints))
 
-    def _checked(self, endpoint: Endpoint, stream: str) -> Endpoint:
+    def _apply_withdrawal(self, endpoint: Endpoint, stream: str) -> Endpoint:
         if is_withdrawn(endpoint):
             self.withdrawals.record_active_source(endpoint, stream)
         elif self.withdrawals.suppresses(endpoint, stream):
--- a/marbleglade/control/front_client/node_connections.py
+++ b/marbleglade/control/front_client/node_connections.py
@@ -1,4 +1,4 @@
-"""A front's connections to control nodes: opens and closes them as the node selection decides."""
+"""Opens and closes a front's connections to control nodes, as decided by the node selection."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 @dataclass(slots=True)
 class NodeState:
-    """The state of a node that outlives its connections.
+    """The state of a node that is kept from one connection to the next.
 
     Attributes:
-        progress: How far its stream was applied.
-        configuration: The answer to the last configuration version that it sent.
-        disconnect_reason: Why the last connection ended; "" while connected.
+        progress: How far the stream of the node was applied.
+        configuration: The answer to the last configuration version of the node; None before the first.
+        disconnect_reason: Why the last connection ended; empty while the node is connected.
     """
 
     progress: StreamProgress
@@ -42,17 +42,20 @@
 
 
 class NodeConnections:
-    """The connections of one front.
+    """The connections of one front to control nodes.
 
     Args:
-        settings: The control plane.
+        settings: The settings of the control plane.
         front: The front's name.
         start_ms: When the front started, in Unix milliseconds.
         selection: Decides which nodes to use.
-        listener: Receives what the nodes send.
-        on_closed: Called when a connection has ended.
+        listener: Handles the messages of the nodes.
+        on_closed: Called after a connection has ended.
         guard: Counts and logs exceptions.
-        loop: The monitored event loop.
+        loop: Monitor of the event loop.
+
+    Attributes:
+        states: The state of each node, by its name.
     """
 
     def __init__(
@@ -86,49 +89,49 @@
                 self._open(node)
 
     def get(self, name: str) -> NodeConnection | None:
-        """Return the connection to a node."""
+        """Return the connection to a node; None if there is none."""
         return self._connections.get(name)
 
     def greeted(self) -> set[str]:
-        """Return the nodes that greeted the front."""
+        """Return the names of the connected nodes that have greeted the front."""
         return {name for name, connection in self._connections.items() if connection.greeted}
 
     def listed(self) -> set[str]:
-        """Return the nodes that sent a complete list."""
+        """Return the names of the nodes whose complete list is known, see `NodeConnection.listed`."""
         return {name for name, connection in self._connections.items() if connection.listed}
 
     def current(self) -> set[str]:
-        """Return the nodes of which everything was applied at some time on the present connection."""
+        """Return the names of the nodes that the front has caught up with on the present connection."""
         return {name for name, connection in self._connections.items() if connection.current}
 
     def leave(self) -> None:
-        """Announce to all nodes that the front shuts down, and confirm nothing any more."""
+        """Announce the shutdown of the front to all nodes, and stop confirming events."""
         for connection in self._connections.values():
             connection.confirming = False
             if connection.greeted:
                 connection.send(FrontLeaving())
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         gevent.killall(list(self._greenlets))
 
     def apply_pending_events(self) -> None:
-        """Handle events that have reached this machine and may have been unread for long."""
+        """Apply events that may have been waiting unread in the receive buffers for too long."""
         for connection in list(self._connections.values()):
             connection.apply_pending_events()
 
     @property
     def last_line_at(self) -> int:
-        """When a node last sent a line, in nanoseconds; 0: never."""
+        """When a greeted node last sent a line other than a load view, in nanoseconds; 0 if none did."""
         times = (connection.last_line_at for connection in self._connections.values() if connection.greeted)
         return max(times, default=0)
 
     def status(self) -> list[ConnectionStatus]:
-        """Return the state of each connection for the log line of counters."""
+        """Return the status of each connection for the periodic `counters` log event."""
         return [connection.status() for connection in self._connections.values()]
 
     def backoff_status(self, now: int) -> list[BackoffStatus]:
-        """Return the nodes in backoff for the log line of counters."""
+        """Return the nodes in backoff for the periodic `counters` log event."""
         return [
             {
                 "node": name,
@@ -140,7 +143,7 @@
 
     def _close_surplus(self, now: int) -> None:
         for name in self._selection.surplus(now, self.greeted(), self.current()):
-            self._connections[name].released = True
+            self._connections[name].closed_as_surplus = True
             self._connections[name].close()
 
     def _open(self, node: NodeSettings) -> None:
@@ -181,11 +184,11 @@
         connection.greeted = False
         connection.current = False
         connection.listed = False
-        if not connection.released and self._selection.health[name].retry_at <= clock.now():
+        if not connection.closed_as_surplus and self._selection.health[name].retry_at <= clock.now():
             self._selection.record_disconnected(name, clock.now())
             self._guard.counters.add("control.connection_lost")
         if state.disconnect_reason != reason:
             state.disconnect_reason = reason
-            disconnected = "surplus" if connection.released else reason
+            disconnected = "surplus" if connection.closed_as_surplus else reason
             self._guard.log.info("control", node=name, disconnected=disconnected)
         self._on_closed()
--- a/marbleglade/control/front_client/node_selection.py
+++ b/marbleglade/control/front_client/node_selection.py
@@ -1,8 +1,9 @@
-"""Selects the control nodes that a front connects to, free of I/O, clocks and randomness.
+"""Selects the control nodes that a front connects to, without I/O, clocks or randomness.
 
-A front uses two nodes in different zones, its own region's first. The order of preference comes from
-rendezvous hashing of the front's and the node's names, so that nodes serve equal shares of the fronts, also
-after one of them failed, without communication between fronts. Times are nanoseconds of a monotonic clock.
+A front uses two nodes in different zones and prefers the nodes of its own region. Within a region the order
+of preference is given by rendezvous hashing of the names of the front and the node. Nodes thus serve equal
+shares of the fronts without communication between fronts, also after one of the nodes has failed. Times are
+nanoseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -14,22 +15,23 @@
 from ...runtime.units import SECOND_NS
 from ..settings import ControlSettings, NodeSettings
 
-HEARTBEAT_INTERVAL_NS = SECOND_NS  # a node writes a line at least as often
-FIRST_BACKOFF_NS = SECOND_NS // 4  # before a node is dialled again
+HEARTBEAT_INTERVAL_NS = SECOND_NS  # the longest time between two lines of a node
+FIRST_BACKOFF_NS = SECOND_NS // 4  # before the first reconnection to a node
 MAX_BACKOFF_NS = 15 * SECOND_NS
-REJECTED_BACKOFF_NS = 60 * SECOND_NS  # after it proved to be no control node of this deployment
-STABLE_AFTER_NS = 10 * SECOND_NS  # a connection that lasted as long proves that the node is well
-MAX_DOUBLINGS = 16  # of the backoff
-JITTER_STEPS = 1024  # in which a backoff is spread
-# One heartbeat may be late by half an interval before the node counts as silent.
+REJECTED_BACKOFF_NS = 60 * SECOND_NS  # after the server proved not to be the node of this deployment
+STABLE_AFTER_NS = 10 * SECOND_NS  # a connection that lasted this long shows that the node is healthy
+MAX_DOUBLINGS = 16  # of the first backoff
+JITTER_STEPS = 1024  # number of different values of a backoff with jitter
+# A heartbeat may be late by half an interval before the node counts as silent.
 MIN_SILENCE_TIMEOUT_NS = HEARTBEAT_INTERVAL_NS * 3 // 2
 MAX_SILENCE_TIMEOUT_NS = 2 * HEARTBEAT_INTERVAL_NS
 
 
 def silence_timeout(purge_deadline: int) -> int:
-    """Return for how many nanoseconds a node may send no line before it counts as silent.
+    """Return the time without a line, in nanoseconds, after which a node counts as silent.
 
-    That is two heartbeats, and less if the purge deadline, in nanoseconds, is short.
+    The timeout is two heartbeat intervals. A short purge deadline, in nanoseconds, reduces it to three
+    quarters of the deadline, but not below one and a half intervals.
     """
     return max(MIN_SILENCE_TIMEOUT_NS, min(MAX_SILENCE_TIMEOUT_NS, purge_deadline * 3 // 4))
 
@@ -40,7 +42,10 @@
 
 
 def rank_nodes(settings: ControlSettings, front: str) -> list[NodeSettings]:
-    """Rank all nodes: the front's own region first, each part in the order of rendezvous hashing."""
+    """Return all nodes in the front's order of preference.
+
+    The nodes of the front's own region come first. Both groups are in the order of rendezvous hashing.
+    """
     region = settings.region_of(front)
     local_region = region.name if region else None
     return sorted(
@@ -49,7 +54,7 @@
 
 
 def best_pair(preferred: list[NodeSettings]) -> list[NodeSettings]:
-    """Return the first node and the next one of another zone, or of the same zone if there is no other."""
+    """Return the first node and the next node of another zone, or the second node if all are in one zone."""
     if len(preferred) <= 1:
         return list(preferred)
     first, *others = preferred
@@ -59,9 +64,15 @@
 
 @dataclass(slots=True)
 class NodeHealth:
-    """The results of connecting to one node. Times are nanoseconds."""
+    """The results of connecting to one node.
+
+    Attributes:
+        failures: Number of consecutive failures.
+        retry_at: When the backoff ends, in nanoseconds.
+        connected_at: When the node greeted the front, in nanoseconds; 0 while not connected.
+    """
 
-    failures: int = 0  # in a row
+    failures: int = 0
     retry_at: int = 0
     connected_at: int = 0
 
@@ -84,7 +95,7 @@
         self.health = {node.name: NodeHealth() for node in self.preferred}
 
     def nodes_to_use(self, now: int, connected: Set[str]) -> list[NodeSettings]:
-        """Return the best pair among the nodes that are connected or not in backoff."""
+        """Return the preferred pair among the nodes that are connected or not in backoff."""
         usable = [
             node
             for node in self.preferred
@@ -93,7 +104,10 @@
         return best_pair(usable)
 
     def surplus(self, now: int, connected: Set[str], current: Set[str]) -> set[str]:
-        """Return the connections to close: those not to be used, once all to be used are up to date."""
+        """Return the nodes whose connections can be closed.
+
+        These are the connected nodes that are not to be used, once all nodes to use are current.
+        """
         needed = {node.name for node in self.nodes_to_use(now, connected)}
         return set(connected - needed) if needed <= current else set()
 
@@ -104,7 +118,7 @@
         )
 
     def backoffs(self, now: int) -> dict[str, int]:
-        """Return the nodes in backoff, and the nanoseconds that remain."""
+        """Return the remaining nanoseconds of the backoff of each node in backoff."""
         return {name: health.retry_at - now for name, health in self.health.items() if health.retry_at > now}
 
     def record_connected(self, name: str, now: int) -> None:
@@ -112,7 +126,7 @@
         self.health[name].connected_at = now
 
     def record_disconnected(self, name: str, now: int) -> None:
-        """Record a failed or ended connection, which starts an exponential backoff."""
+        """Record that a connection failed or ended, and start an exponential backoff."""
         health = self.health[name]
         if health.connected_at and now - health.connected_at >= STABLE_AFTER_NS:
             health.failures = 0
@@ -122,14 +136,14 @@
         health.retry_at = now + self._with_jitter(name, backoff)
 
     def record_rejected(self, name: str, now: int) -> None:
-        """Record that the server is no node of this deployment, which starts a long backoff."""
+        """Record that the server is not the node of this deployment, and start a long backoff."""
         health = self.health[name]
         health.failures += 1
         health.connected_at = 0
         health.retry_at = now + self._with_jitter(name, REJECTED_BACKOFF_NS)
 
     def _with_jitter(self, name: str, backoff: int) -> int:
-        """Return between half of the backoff and all of it, different for each front, node and attempt."""
+        """Return between half and all of the backoff, spread by a hash of front, node and failure count."""
         step = name_hash(self.front, name, str(self.health[name].failures)) % JITTER_STEPS
         return backoff // 2 + backoff // 2 * step // JITTER_STEPS
 
@@ -141,16 +155,17 @@
     listed: Set[str],
     current: Set[str],
 ) -> str | None:
-    """Return the node whose lists are in force.
+    """Return the name of the node whose list of caches is to be in force; None if there is no such node.
 
-    That is the best node that is up to date, else the present one while connected, else the best with a list.
+    The first choice is the most preferred node that is current and has a list, the second the present primary
+    if it is connected, and the third the most preferred connected node that has a list.
 
     Args:
         preferred: All nodes in the front's order of preference.
-        primary: The present one, if any.
-        greeted: The nodes that greeted the front and are connected.
-        listed: Those among them that have sent a complete list.
-        current: Those among them that were up to date once on this connection.
+        primary: The present primary, if any.
+        greeted: The connected nodes that have greeted the front.
+        listed: The nodes whose complete list is known.
+        current: The nodes that the front has caught up with on the present connection.
     """
     names = [node.name for node in preferred]
     best = next((name for name in names if name in current & listed), None)
--- a/marbleglade/control/front_client/stream_progress.py
+++ b/marbleglade/control/front_client/stream_progress.py
@@ -1,6 +1,6 @@
-"""How far a front has applied the stream of a control node, and what it may confirm of it.
+"""Tracks how far a front has applied the stream of a control node, and which events it may confirm.
 
-Free of I/O, clocks and randomness; times are nanoseconds of a monotonic clock.
+Without I/O, clocks or randomness. Times are nanoseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -9,27 +9,28 @@
 
 from ..messages import NO_STREAM, Greeting
 
-MIN_CONFIRMATION_INTERVAL_NS = 200_000_000  # between two confirmations on one connection
+MIN_CONFIRMATION_INTERVAL_NS = 200_000_000  # between two confirmations on a connection
 
 
 class SequenceError(Exception):
-    """The indices of a stream have a gap or decrease; the connection is closed and opened again."""
+    """The indices of a stream have a gap or decrease. The connection is closed and opened again."""
 
 
 @dataclass(slots=True)
 class StreamProgress:
-    """How far one node's stream was applied.
+    """How far the stream of one node was applied.
 
     Attributes:
-        stream: The stream that the indices belong to.
-        applied: Every event up to this index was received, and applied unless `first_failed` names it.
-        snapshot_to: The index that ends the snapshot in progress; 0: there is none.
-        first_failed: The first event that could not be applied; 0: none. From it on nothing is confirmed.
-        retried: An event failed and was requested again since the stream was last complete.
-        floor: The index at which the present connection began, or its snapshot ended.
-        confirmed: The last index that was confirmed on the present connection.
-        confirmed_at: When that was, in nanoseconds.
-        complete: Everything up to the node's last heartbeat was applied.
+        stream: The id of the stream that the indices belong to.
+        applied: Every event up to this index was received. All of them were applied if `first_failed` is 0.
+        snapshot_to: The last index of the snapshot in progress; 0 without a snapshot.
+        first_failed: The index of the first event that could not be applied; 0 if there is none. Neither it
+            nor any later event is confirmed.
+        retried: Whether an event failed and was requested again since the front last caught up.
+        base_index: The index from which the present connection resumed, or at which its snapshot ended.
+        confirmed: The last index confirmed on the present connection.
+        confirmed_at: When the last confirmation was sent, in nanoseconds.
+        caught_up: Whether all events up to the node's last heartbeat were applied.
     """
 
     stream: str = NO_STREAM
@@ -37,47 +38,54 @@
     snapshot_to: int = 0
     first_failed: int = 0
     retried: bool = False
-    floor: int = 0
+    base_index: int = 0
     confirmed: int = 0
     confirmed_at: int = 0
-    complete: bool = False
+    caught_up: bool = False
 
     def resume_from(self) -> tuple[str, int]:
-        """Return the stream and index to resume from, so that failed events are sent again."""
-        if self.first_failed and self.first_failed <= self.floor:
+        """Return the stream and index to resume from, so that the node sends failed events again.
+
+        A failed event of a snapshot can't be requested alone, so the stream is requested from the beginning.
+        """
+        if self.first_failed and self.first_failed <= self.base_index:
             return NO_STREAM, 0
         return self.stream, self.confirmable_index
 
     def begin(self, greeting: Greeting) -> None:
-        """Resume the stream, or begin the other one that the greeting names."""
+        """Resume the stream, or begin another one if the greeting names another."""
         stream, resumed = self.resume_from()
         if greeting.stream != stream:
             self.stream, resumed = greeting.stream, 0
-        self.applied = self.floor = resumed
+        self.applied = self.base_index = resumed
         self.snapshot_to = greeting.snapshot_to
         self.first_failed = self.confirmed = 0
-        self.complete = False
+        self.caught_up = False
 
     def is_new(self, index: int) -> bool:
-        """Return whether an event is to be applied, not a duplicate. Raises `SequenceError` at a gap."""
+        """Return whether an event is to be applied; False for a duplicate.
+
+        Raises:
+            SequenceError: Events before it are missing.
+        """
         if self.snapshot_to:
             return True
         if index > self.applied + 1:
-            raise SequenceError(f"event {index} after {self.applied}")
+            raise SequenceError(f"received event {index}, expected event {self.applied + 1}")
         return index > self.applied
 
     def record_applied(self, index: int) -> None:
-        """Record an applied event. Nothing of a snapshot counts before its last index."""
+        """Record an applied event. The events of a snapshot count as applied only once its last index is."""
         if not self.snapshot_to:
             self.applied = max(self.applied, index)
         elif index >= self.snapshot_to:
-            self.applied = self.floor = index
+            self.applied = self.base_index = index
             self.snapshot_to = 0
 
     def record_failure(self, index: int) -> bool:
-        """Record an event that could not be applied; return whether to request it once more.
+        """Record an event that could not be applied, and return whether to request it again.
 
-        After the second attempt the stream continues, but nothing from this event on is confirmed.
+        If it fails again the stream continues, but neither this event nor any later one is confirmed.
         """
         if not self.retried:
             self.retried = True
@@ -87,11 +95,15 @@
         return False
 
     def record_heartbeat(self, index: int) -> None:
-        """Record the index of the node's last event. Raises `SequenceError` if it decreased."""
+        """Record a heartbeat, which has the index of the node's last event.
+
+        Raises:
+            SequenceError: The index is lower than that of an event that was already applied.
+        """
         if not self.snapshot_to and index < self.applied:
-            raise SequenceError(f"the last number is {index}, after {self.applied}")
-        self.complete = not self.snapshot_to and index == self.applied and not self.first_failed
-        if self.complete:
+            raise SequenceError(f"received a heartbeat with index {index} after event {self.applied}")
+        self.caught_up = not self.snapshot_to and index == self.applied and not self.first_failed
+        if self.caught_up:
             self.retried = False
 
     @property
@@ -100,13 +112,13 @@
         return min(self.applied, self.first_failed - 1) if self.first_failed else self.applied
 
     def next_confirmation_at(self) -> int | None:
-        """Return when the next confirmation may be sent; None if there is nothing to confirm."""
-        if self.snapshot_to or self.confirmable_index <= max(self.confirmed, self.floor - 1):
+        """Return when the next confirmation may be sent, in nanoseconds; None without a new index."""
+        if self.snapshot_to or self.confirmable_index <= max(self.confirmed, self.base_index - 1):
             return None
         return self.confirmed_at + MIN_CONFIRMATION_INTERVAL_NS
 
     def take_confirmation(self, now: int) -> int | None:
-        """Return the index to confirm now, and record it as confirmed; None if there is none."""
+        """Return the index to confirm now and record it as confirmed; None if none may be confirmed yet."""
         confirmation_at = self.next_confirmation_at()
         if confirmation_at is None or now < confirmation_at:
             return None
--- a/marbleglade/control/front_client/withdrawals.py
+++ b/marbleglade/control/front_client/withdrawals.py
@@ -1,7 +1,8 @@
-"""Which caches the sources of a front have withdrawn, without I/O.
+"""Tracks which caches the sources of a front have withdrawn, without I/O.
 
-A cache that one source lists as draining or removed stays withdrawn though another, which lags behind, still
-lists it as active, until the active source has withdrawn it too, or the cache has started again.
+A source withdraws a cache by listing it as draining or removed. The cache stays withdrawn although another
+source, which may lag behind, still lists it as active. This ends once the active source has withdrawn the
+cache as well and listed it as active again, or once the cache has started again.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 from ...model.upstream import UpstreamState
 from ...model.watch_event import Endpoint
 
-MAX_WITHDRAWALS = 4096  # that are stored; the oldest is dropped first
-MAX_SOURCES_PER_WITHDRAWAL = 8  # streams that are stored for one withdrawal
+MAX_WITHDRAWALS = 4096  # stored per front; the oldest is dropped first
+MAX_SOURCES_PER_WITHDRAWAL = 8  # streams stored per withdrawal
 
 
 def is_withdrawn(endpoint: Endpoint) -> bool:
-    """Return whether a cache is draining or removed."""
+    """Return whether an entry lists its cache as draining or removed."""
     return endpoint.state is not UpstreamState.ACTIVE
 
 
@@ -25,9 +26,10 @@
     """A cache that a source listed as draining or removed.
 
     Attributes:
-        started_ms: Which start of the cache was withdrawn.
-        sources: The streams that withdrew it.
-        revoked: The active source withdrew this start, and listed it as active again afterwards.
+        started_ms: The start of the cache that was withdrawn, in Unix milliseconds; 0 if not known.
+        sources: The streams that withdrew this start.
+        revoked: Whether the active source withdrew this start and listed it as active again afterwards, or
+            the list of the discovery service, once activated, has the cache as active.
     """
 
     started_ms: int
@@ -37,12 +39,12 @@
 
 @dataclass(slots=True)
 class Withdrawals:
-    """The latest withdrawals by cache id, at most `MAX_WITHDRAWALS`."""
+    """The most recent withdrawals by cache id, at most `MAX_WITHDRAWALS`."""
 
     by_id: dict[str, Withdrawal] = field(default_factory=dict)
 
     def record(self, endpoint: Endpoint, stream: str) -> bool:
-        """Record that a stream withdrew a cache; return whether it is the first to withdraw this start."""
+        """Record that a stream withdrew a cache; return whether no stream withdrew this start before."""
         known = self.by_id.get(endpoint.id)
         if known and known.started_ms > endpoint.started_ms:
             return False
@@ -58,7 +60,7 @@
         return False
 
     def suppresses(self, endpoint: Endpoint, stream: str) -> bool:
-        """Return whether a cache that is listed as active stays withdrawn by another source."""
+        """Return whether a cache that the active source lists as active stays withdrawn by another source."""
         known = self.by_id.get(endpoint.id)
         if (
             known is None
@@ -73,14 +75,14 @@
         return True
 
     def record_active_source(self, endpoint: Endpoint, stream: str) -> None:
-        """Record that the active source withdrew a cache, which ends an earlier revocation."""
+        """Record that the active source withdrew a cache, and cancel an earlier revocation."""
         self.record(endpoint, stream)
         known = self.by_id[endpoint.id]
         if known.started_ms == endpoint.started_ms:
             known.revoked = False
 
     def revoke(self, endpoints: list[Endpoint]) -> None:
-        """Revoke the withdrawals of caches that are known to be active."""
+        """Revoke the withdrawals of caches that the discovery service lists as active."""
         for endpoint in endpoints:
             known = self.by_id.get(endpoint.id)
             if known and endpoint.started_ms <= known.started_ms:
--- a/tests/control/front_client/test_client_connections.py
+++ b/tests/control/front_client/test_client_connections.py
@@ -51,14 +51,14 @@
 @pytest.mark.parametrize(
     "first_line, reason",
     [
-        (b"0\n", "its first line is no greeting"),
+        (b"0\n", "the first line is not a greeting"),
         (
             b'{"control":{"deployment":"x","node":"n1","stream":"s","snapshot_to":0}}\n',
-            "it serves the deployment x",
+            "the server belongs to deployment x, expected d",
         ),
         (
             b'{"control":{"deployment":"d","node":"n9","stream":"s","snapshot_to":0}}\n',
-            "it is the node n9",
+            "the server is node n9, expected n1",
         ),
     ],
 )
--- a/tests/control/front_client/test_front_process.py
+++ b/tests/control/front_client/test_front_process.py
@@ -191,7 +191,9 @@
     plane.wait_until(
         lambda: plane.current_nodes() == {"c2"} and plane.front.log.events(event="control", source="nodes")
     )
-    assert plane.front.log.events(event="control", node="c1", disconnected="it serves the deployment another")
+    assert plane.front.log.events(
+        event="control", node="c1", disconnected="the server belongs to deployment another, expected d"
+    )
     assert (
         plane.cache_states() == {"c2": "ACTIVE"}
         and other_node.connection_count == 1
--- a/tests/control/front_client/test_purge_coverage.py
+++ b/tests/control/front_client/test_purge_coverage.py
@@ -25,8 +25,8 @@
     assert coverage.age_limit(coverage.expires_at - 1) == 0
     assert coverage.age_limit(coverage.expires_at) == coverage.max_safe_age == 3 * SECOND_NS // 2
     assert coverage.expires_at - 10 * SECOND_NS < coverage.deadline
-    coverage.record_complete(20 * SECOND_NS)
-    coverage.record_complete(15 * SECOND_NS)
+    coverage.record_caught_up(20 * SECOND_NS)
+    coverage.record_caught_up(15 * SECOND_NS)
     assert (
         coverage.age_limit(21 * SECOND_NS) == 0
         and coverage.age_limit(22 * SECOND_NS) == coverage.max_safe_age
--- a/tests/control/front_client/test_stream_progress.py
+++ b/tests/control/front_client/test_stream_progress.py
@@ -41,11 +41,11 @@
         progress.record_applied(index)
         assert progress.take_confirmation(10 * SECOND_NS) is None and progress.resume_from() == ("s", 0)
     progress.record_heartbeat(9)
-    assert not progress.complete
+    assert not progress.caught_up
     progress.record_applied(9)
     assert progress.take_confirmation(10 * SECOND_NS) == 9
     progress.record_heartbeat(9)
-    assert progress.complete
+    assert progress.caught_up
 
 
 def test_another_stream_is_followed_from_its_first_event():
@@ -83,7 +83,7 @@
     progress.record_heartbeat(3)
     assert (
         progress.take_confirmation(SECOND_NS) == 1
-        and not progress.complete
+        and not progress.caught_up
         and progress.resume_from() == ("s", 1)
     )
 
@@ -170,7 +170,7 @@
     @rule()
     def heartbeat(self):
         self.progress.record_heartbeat(self.last)
-        if self.progress.complete:
+        if self.progress.caught_up:
             assert self.effective >= {*range(1, self.last + 1)}
 
     @precondition(lambda self: self.queue is not None)
