--- a/marbleglade/deployment/__init__.py
+++ b/marbleglade/deployment/__init__.py
@@ -1,1 +1,1 @@
-"""A deployment's file: its schema, its reader, its checks, and what the policy reads of it."""
+"""The deployment file: its schema, reader and checks, and the policy environments derived from it."""
--- a/marbleglade/deployment/checks.py
+++ b/marbleglade/deployment/checks.py
@@ -1,4 +1,4 @@
-"""Checks a deployment completely: all errors, each with its field."""
+"""Checks a deployment and reports all errors, each with the path of its field."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 OBJECT_PREFIX_PATTERN = re.compile(r"[0-9a-f]{0,16}")
 MIN_REGIONS = 2
 MAX_REGIONS = 16
-MAX_GATEWAYS = 16  # of one region
+MAX_GATEWAYS = 16  # per region
 MAX_PROFILES = 64
 MAX_GROUP = 255
 MIN_HEARTBEATS_TO_SILENCE = 3
-# The least and the greatest value of each number.
+# The inclusive lower and upper bounds of the numeric fields, by section.
 BOUNDS: dict[str, dict[str, tuple[float, float]]] = {
     "limits": {
         "memory": (8 << 20, 1 << 40),
@@ -57,7 +57,10 @@
 
 
 def find_errors(deployment: Deployment) -> list[str]:
-    """Return all errors of a deployment with its defaults filled in, a line each, with the field's path."""
+    """Return all errors of a deployment whose defaults are filled in.
+
+    Each error is one line that starts with the path of the field.
+    """
     return [
         *_number_errors(deployment),
         *_regions_errors(deployment),
@@ -68,8 +71,8 @@
 
 def _bounds_errors(path: str, value: float, bounds: tuple[float, float]) -> Iterator[str]:
     least, most = bounds
-    if not least <= value <= most:  # also if it is no number
-        yield f"{path}: {value:g} is not within {least:g} and {most:g}"
+    if not least <= value <= most:  # also true of NaN
+        yield f"{path}: {value:g} is not between {least:g} and {most:g}"
 
 
 def _number_errors(deployment: Deployment) -> Iterator[str]:
@@ -78,13 +81,18 @@
         for field, bounds in bounds_by_field.items():
             yield from _bounds_errors(f"{section_name}.{field}", getattr(section, field), bounds)
     if deployment.link.silent_ms < MIN_HEARTBEATS_TO_SILENCE * deployment.link.beat_ms:
-        yield "link.silent_ms: less than three of link.beat_ms"
+        yield "link.silent_ms: must be at least three times link.beat_ms"
     if bool(deployment.limits.pace) != bool(deployment.limits.width):
-        yield "limits.pace, limits.width: one is told without the other"
+        yield "limits.pace, limits.width: must both be positive, or both 0"
 
 
 class _UniqueValues:
-    """Names and addresses that may be used once only, with the path of the field that used them first."""
+    """Checks that names and addresses are valid and used only once.
+
+    Attributes:
+        path_by_name: The path of the field that used each name first.
+        path_by_address: The path of the field that used each address first.
+    """
 
     def __init__(self) -> None:
         self.path_by_name: dict[str, str] = {}
@@ -92,9 +100,9 @@
 
     def name_errors(self, path: str, name: str) -> Iterator[str]:
         if not NAME_PATTERN.fullmatch(name):
-            yield f"{path}: {name!r} is no name"
+            yield f"{path}: {name!r} is not a name: expected 1 to 32 of a-z, 0-9, '-', the first not '-'"
         elif name in self.path_by_name:
-            yield f"{path}: {name!r} is taken by {self.path_by_name[name]}"
+            yield f"{path}: {name!r} is already used by {self.path_by_name[name]}"
         self.path_by_name.setdefault(name, path)
 
     def address_errors(self, path: str, text: str) -> Iterator[str]:
@@ -104,19 +112,19 @@
             yield f"{path}: {error}"
             return
         if parsed_address in self.path_by_address:
-            yield f"{path}: {text} is taken by {self.path_by_address[parsed_address]}"
+            yield f"{path}: {text} is already used by {self.path_by_address[parsed_address]}"
         self.path_by_address.setdefault(parsed_address, path)
 
 
 def _address_errors(path: str, text: str) -> Iterator[str]:
-    """Check an address that others may name, too."""
+    """Check an address that may be used more than once."""
     return _UniqueValues().address_errors(path, text)
 
 
 def _regions_errors(deployment: Deployment) -> Iterator[str]:
     regions = deployment.regions
     if not MIN_REGIONS <= len(regions) <= MAX_REGIONS:
-        yield f"regions: {len(regions)} of them, where {MIN_REGIONS} to {MAX_REGIONS} belong"
+        yield f"regions: there are {len(regions)}, expected {MIN_REGIONS} to {MAX_REGIONS}"
     unique = _UniqueValues()
     for index, region in enumerate(regions):
         yield from _region_errors(f"regions[{index}]", region, unique)
@@ -132,9 +140,9 @@
         if not getattr(region, field):
             yield f"{path}.{field}: is missing"
     if region.hub_kind and region.hub_kind == region.store_kind:
-        yield f"{path}.store_kind: the same as hub_kind"
+        yield f"{path}.store_kind: must differ from hub_kind"
     if not 1 <= len(region.gateways) <= MAX_GATEWAYS:
-        yield f"{path}.gateways: {len(region.gateways)} of them, where 1 to {MAX_GATEWAYS} belong"
+        yield f"{path}.gateways: there are {len(region.gateways)}, expected 1 to {MAX_GATEWAYS}"
     for index, gateway in enumerate(region.gateways):
         yield from _gateway_errors(f"{path}.gateways[{index}]", gateway, unique)
 
@@ -159,16 +167,16 @@
     if route.region not in region_names:
         yield f"{path}.region: no region is named {route.region!r}"
     if route.HasField("first_group") != route.HasField("last_group"):
-        yield f"{path}: first_group and last_group go together"
+        yield f"{path}: first_group and last_group must be given together"
     elif route.first_group > route.last_group or route.last_group > MAX_GROUP:
-        yield f"{path}: groups {route.first_group} to {route.last_group} are not within 0 and {MAX_GROUP}"
+        yield f"{path}: groups {route.first_group} to {route.last_group} are not a range in 0 to {MAX_GROUP}"
     if not OBJECT_PREFIX_PATTERN.fullmatch(route.prefix):
-        yield f"{path}.prefix: {route.prefix!r} is not of hex digits, 16 at most"
+        yield f"{path}.prefix: {route.prefix!r} is not a string of at most 16 lower-case hex digits"
 
 
 def _profiles_errors(deployment: Deployment) -> Iterator[str]:
     if not 1 <= len(deployment.profiles) <= MAX_PROFILES:
-        yield f"profiles: {len(deployment.profiles)} of them, where 1 to {MAX_PROFILES} belong"
+        yield f"profiles: there are {len(deployment.profiles)}, expected 1 to {MAX_PROFILES}"
     unique = _UniqueValues()
     for index, profile in enumerate(deployment.profiles):
         yield from _profile_errors(f"profiles[{index}]", profile, unique)
@@ -179,6 +187,6 @@
     for field, bounds in PROFILE_BOUNDS.items():
         yield from _bounds_errors(f"{path}.{field}", getattr(profile, field), bounds)
     if profile.agreed_ms > profile.client_timeout_ms:
-        yield f"{path}.agreed_ms: more than client_timeout_ms"
+        yield f"{path}.agreed_ms: {profile.agreed_ms:g} is greater than client_timeout_ms"
     if profile.repeat == profile.RECEIPTED and not profile.window_ms:
-        yield f"{path}.window_ms: is missing, and needed where repeat is RECEIPTED"
+        yield f"{path}.window_ms: is missing, but required for repeat RECEIPTED"
--- a/marbleglade/deployment/environments.py
+++ b/marbleglade/deployment/environments.py
@@ -1,4 +1,4 @@
-"""A deployment as the policy and the transport read it: for the local region, and for a remote one."""
+"""Derives the environments of the policy and the transport from a deployment, for each kind of region."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 CLOCK_RESOLUTION_NS = 2 * MILLISECOND_NS
 BYTES_PER_KB = 1000
-STREAMS_PER_CONNECTION = 100  # requests that a connection to an upstream may have open at once
-ORIGIN_KIND = 1  # its index in the kinds of the local region
-# By the numbers of the schema's `Repeat`.
-IDEMPOTENCY_BY_FIELD = (Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_BY_KEY, Idempotency.NON_IDEMPOTENT)
+STREAMS_PER_CONNECTION = 100  # open requests per connection to an upstream
+ORIGIN_KIND_INDEX = 1  # in the kinds of the local region
+# Indexed by the values of the schema's enum `Repeat`.
+IDEMPOTENCY_BY_REPEAT = (Idempotency.IDEMPOTENT, Idempotency.IDEMPOTENT_BY_KEY, Idempotency.NON_IDEMPOTENT)
 
 
 def local_environment(local: LocalDeployment, start_ms: int) -> Environment:
-    """Return the environment of the local region, whose hubs are the caches and whose store is the origin.
+    """Return the environment of the local region: `hub_kind` are its caches, `store_kind` is its origin.
 
     Args:
         local: The deployment.
@@ -33,7 +33,7 @@
 
 
 def remote_environment(local: LocalDeployment, start_ms: int, region: Region) -> Environment:
-    """Return the environment of a remote region, whose gateways are the caches, and nothing fills them.
+    """Return the environment of a remote region: its gateways are the caches, without a fill source.
 
     Args:
         local: The deployment.
@@ -52,7 +52,7 @@
             latency_objective=to_ns(profile.agreed_ms),
             objective_stretch=profile.stretch,
             client_timeout=to_ns(profile.client_timeout_ms),
-            idempotency=IDEMPOTENCY_BY_FIELD[profile.repeat],
+            idempotency=IDEMPOTENCY_BY_REPEAT[profile.repeat],
             deduplication_window=to_ns(profile.window_ms),
             freshness_lifetime=to_ns(profile.fresh_ms),
             stale_grace=to_ns(profile.grace_ms),
@@ -100,7 +100,7 @@
         parameters=parameters,
         request_classes=dict(zip(names, parameters.request_classes, strict=True)),
         parent_kind=NO_KIND,
-        origin_kind=ORIGIN_KIND,
+        origin_kind=ORIGIN_KIND_INDEX,
         kinds=kinds,
         zones=[zone],
         connect_timeout=to_ns(limits.connect_ms),
@@ -113,5 +113,5 @@
 
 
 def to_ns(milliseconds: float) -> int:
-    """Return a time of a deployment in ns."""
+    """Convert milliseconds, the unit of the deployment file, to nanoseconds."""
     return round(milliseconds * MILLISECOND_NS)
--- a/marbleglade/deployment/reader.py
+++ b/marbleglade/deployment/reader.py
@@ -1,4 +1,4 @@
-"""Reads a deployment in protobuf text format, with its defaults filled in."""
+"""Reads a deployment file in protobuf text format and fills in defaults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .deployment_pb2 import Deployment, Gateway, Region
 
 MAX_FILE_BYTES = 1 << 20
-# What an absent field means; the schema's comments say the same.
+# Values of absent fields, which the comments of deployment.proto state as well.
 DEFAULTS: dict[str, dict[str, float]] = {
     "limits": {
         "memory": 192 << 20,
@@ -44,7 +44,7 @@
 
 
 class InvalidDeploymentError(Exception):
-    """The deployment can't be used; `errors` has one line for each reason."""
+    """The deployment can't be used; `errors` has one line per reason."""
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__("; ".join(errors))
@@ -53,12 +53,12 @@
 
 @dataclass(slots=True)
 class LocalDeployment:
-    """A deployment as one of its gateways sees it.
+    """A deployment from the point of view of one of its gateways.
 
     Attributes:
-        configuration: The file with its defaults filled in.
-        region: The region of this process.
-        gateway: The gateway that this process is.
+        configuration: The content of the file with defaults filled in.
+        region: The region of the local gateway.
+        gateway: The local gateway, which this process runs.
     """
 
     configuration: Deployment
@@ -67,15 +67,15 @@
 
     @property
     def remote_regions(self) -> list[Region]:
-        """The other regions, in the file's order."""
+        """All regions except the local one, in the order of the file."""
         return [region for region in self.configuration.regions if region.name != self.region.name]
 
 
 def load(path: str) -> Deployment:
-    """Read the file at `path` and fill in its defaults; it is not checked yet.
+    """Read the file at `path` and fill in defaults, without checking the values.
 
     Raises:
-        InvalidDeploymentError: It can't be read.
+        InvalidDeploymentError: The file can't be read or parsed.
     """
     try:
         deployment = parse_file(path, Deployment(), MAX_FILE_BYTES)
@@ -93,11 +93,11 @@
     """Read and check a deployment for one of its gateways.
 
     Args:
-        path: The file.
-        name: Name of the gateway that this process is; empty for the one that the file names as `self`.
+        path: The deployment file.
+        name: Name of the local gateway; if empty, the field `self` of the file is used.
 
     Raises:
-        InvalidDeploymentError: It can't be used.
+        InvalidDeploymentError: The file can't be read, has errors, or doesn't list the local gateway.
     """
     deployment = load(path)
     errors = find_errors(deployment)
@@ -109,7 +109,7 @@
         if gateway.name == name
     ]
     if not name:
-        errors.append("self: is missing, and no name was given")
+        errors.append("self: is missing, and no gateway name was given otherwise")
     elif not found and name != deployment.self:
         errors.append(f"no gateway is named {name!r}")
     if errors:
@@ -118,6 +118,6 @@
 
 
 def to_text(deployment: Deployment) -> str:
-    """Return a deployment as text that can be read again."""
+    """Return a deployment in the text format that `load` reads."""
     text: str = text_format.MessageToString(deployment, as_utf8=True)
     return text
