--- a/marbleglade/control/front_client/event_dispatch.py
+++ b/marbleglade/control/front_client/event_dispatch.py
@@ -86,14 +86,14 @@
         self._counters.add("control.purge")
 
     def _configure(self, event: ConfigurationEvent) -> ConfigurationApplied | ConfigurationRejected | None:
-        before = self.versions.in_force
+        previous_version = self.versions.in_force
         answer = self.versions.handle_event(event)
         if answer is None:
             self._counters.add("control.outdated_version")
         elif isinstance(answer, ConfigurationRejected):
             self._counters.add("control.rejected_version")
             self._log.info("control", rejected_version=answer.version, reason=answer.reason)
-        elif self.versions.in_force != before:
+        elif self.versions.in_force != previous_version:
             self._counters.add("control.version")
             self._log.info("control", version=answer.version)
         return answer
--- a/marbleglade/control/front_client/list_sources.py
+++ b/marbleglade/control/front_client/list_sources.py
@@ -133,10 +133,10 @@
         return endpoint
 
     def _withdraw(self, stream: str, change: EndpointListChange) -> None:
-        first = [
+        newly_withdrawn = [
             endpoint
             for endpoint in change.endpoints
             if is_withdrawn(endpoint) and self.withdrawals.record(endpoint, stream)
         ]
-        if first:
-            self._on_withdrawn(EndpointListChange(change.index, False, first))
+        if newly_withdrawn:
+            self._on_withdrawn(EndpointListChange(change.index, False, newly_withdrawn))
--- a/marbleglade/deployment/environments.py
+++ b/marbleglade/deployment/environments.py
@@ -21,7 +21,9 @@
 
 
 def local_environment(local: LocalDeployment, start_ms: int) -> Environment:
-    """Return the environment of the local region: `hub_kind` are its caches, `store_kind` is its origin.
+    """Return the environment of the local region.
+
+    Upstreams of the region's `hub_kind` are the caches, those of its `store_kind` are the origin.
 
     Args:
         local: The deployment.
@@ -33,7 +35,9 @@
 
 
 def remote_environment(local: LocalDeployment, start_ms: int, region: Region) -> Environment:
-    """Return the environment of a remote region: its gateways are the caches, without a fill source.
+    """Return the environment of a remote region.
+
+    The gateways of the region are the caches. They have no fill source.
 
     Args:
         local: The deployment.
--- a/marbleglade/deployment/reader.py
+++ b/marbleglade/deployment/reader.py
@@ -102,7 +102,7 @@
     deployment = load(path)
     errors = find_errors(deployment)
     name = name or deployment.self
-    found = [
+    matches = [
         (region, gateway)
         for region in deployment.regions
         for gateway in region.gateways
@@ -110,11 +110,11 @@
     ]
     if not name:
         errors.append("self: is missing, and no gateway name was given otherwise")
-    elif not found and name != deployment.self:
+    elif not matches and name != deployment.self:
         errors.append(f"no gateway is named {name!r}")
     if errors:
         raise InvalidDeploymentError(errors)
-    return LocalDeployment(deployment, *found[0])
+    return LocalDeployment(deployment, *matches[0])
 
 
 def to_text(deployment: Deployment) -> str:
--- a/tests/control/front_client/client_harness.py
+++ b/tests/control/front_client/client_harness.py
@@ -1,4 +1,4 @@
-"""A front's client of the control plane in this process, and the scripted nodes that it connects to."""
+"""Runs a control plane client in the process of the test, against scripted nodes."""
 
 from functools import partial
 from pathlib import Path
@@ -18,22 +18,22 @@
 from tests.harness.units import NS_PER_MS
 from tests.harness.waiting import wait_until
 
-WAIT_LIMIT_S = 20  # far above what anything here takes, also on a busy machine
+WAIT_LIMIT_S = 20  # far above the time that any step takes, also on a busy machine
 wait = partial(wait_until, seconds=WAIT_LIMIT_S, interval=0.005)
 
 
 class RecordingTarget:
-    """A front that records what it is called with."""
+    """A control target that records the calls of the client."""
 
     def __init__(self):
         self.purges, self.lists, self.withdrawn, self.versions, self.limits = [], [], [], [], []
-        self.rejections: dict[int, str] = {}  # reasons by version
-        self.failures_left = 0  # events that can't be applied, from the next one on
+        self.rejections: dict[int, str] = {}  # the reason for rejecting each version
+        self.failures_left = 0  # number of next events whose application fails
 
     def apply(self, event):
         if self.failures_left:
             self.failures_left -= 1
-            raise RuntimeError("the test has it fail")
+            raise RuntimeError("failure requested by the test")
         (self.purges if isinstance(event, Purge) else self.lists).append(event)
 
     def withdraw(self, change):
@@ -49,7 +49,7 @@
 
     @property
     def active(self):
-        """The caches in use after all changes so far."""
+        """The ids of the active caches after all list changes so far."""
         states: dict[str, str] = {}
         for change in self.lists:
             states = {} if change.complete else states
@@ -58,6 +58,8 @@
 
 
 class RecordingDiscovery:
+    """A watch of the discovery service that records the calls of the client."""
+
     def __init__(self):
         self.calls = []
 
@@ -69,6 +71,7 @@
 
 
 def cache(name, state="active", started_ms=1):
+    """An entry of the list of caches, as a node sends it."""
     return {
         "id": name,
         "addr": "127.0.0.1:9",
@@ -81,7 +84,7 @@
 
 
 class ClientHarness:
-    """A client in this process and scripted nodes n1, n2, n3, each in a zone of its own."""
+    """A client in the process of the test, and scripted nodes n1, n2 and so on, each in its own zone."""
 
     def __init__(self, sink, count=2, purge_deadline=2600 * NS_PER_MS, apply_load_view=None):
         self.nodes = [StandInControlNode(f"n{number}", "d", f"s{number}") for number in range(1, count + 1)]
@@ -109,11 +112,11 @@
             apply_load_view=apply_load_view,
         )
         self.path = Path(sink.name)
-        self.loop = None
+        self.greenlet = None
         self.by_name = {node.name: node for node in self.nodes}
 
     def start(self):
-        self.loop = gevent.spawn(self.client.run)
+        self.greenlet = gevent.spawn(self.client.run)
 
     def node(self, name):
         return self.by_name[name]
@@ -132,24 +135,24 @@
         return self.client.status()["nodes"]
 
     def wait_until_current(self, count=2):
-        """Waits until that many nodes are up to date and one of them is the primary."""
+        """Waits until `count` nodes are current and the client has a primary."""
         wait(lambda: self.client.primary and sum(state["current"] for state in self.node_statuses) == count)
 
     def disconnect_reasons(self):
-        """The reasons why connections ended, in their order."""
+        """The logged reasons why connections ended, in order."""
         lines = [orjson.loads(line) for line in self.path.read_bytes().splitlines()]
         return [line["disconnected"] for line in lines if "disconnected" in line]
 
     def close(self):
         self.client.close()
-        if self.loop:
-            self.loop.join(WAIT_LIMIT_S)
+        if self.greenlet:
+            self.greenlet.join(WAIT_LIMIT_S)
         for node in self.nodes:
             node.close()
 
 
 def start_with_list(harness, names=("a", "b")):
-    """Starts with all nodes sending the same list, and waits until the front uses two of them."""
+    """Starts the client with all nodes sending the same list, and waits until up to two nodes are current."""
     for node in harness.nodes:
         node.announce([cache(name) for name in names], full_list=True)
     harness.start()
--- a/tests/control/front_client/conftest.py
+++ b/tests/control/front_client/conftest.py
@@ -1,4 +1,4 @@
-"""A client of the control plane against scripted nodes."""
+"""Fixtures of the tests of a front's control plane client."""
 
 import pytest
 
@@ -7,6 +7,7 @@
 
 @pytest.fixture
 def make_client(tmp_path):
+    """Creates client harnesses, and closes them after the test."""
     harnesses = []
     with (tmp_path / "log").open("ab") as sink:
 
--- a/tests/control/front_client/endpoints.py
+++ b/tests/control/front_client/endpoints.py
@@ -1,4 +1,4 @@
-"""Caches as discovery lists them."""
+"""Entries of the list of caches, as decoded from a watch event."""
 
 from marbleglade.model.upstream import UpstreamState
 from marbleglade.model.watch_event import Endpoint
--- a/tests/control/front_client/test_client_confirmation.py
+++ b/tests/control/front_client/test_client_confirmation.py
@@ -1,4 +1,4 @@
-"""What a front's client sends to its nodes: confirmations, rejections, load reports, and its departure."""
+"""Lines that a control plane client sends: confirmations, rejections, load reports and its shutdown."""
 
 import gevent
 
@@ -6,7 +6,7 @@
 from tests.control.front_client.client_harness import cache, start_with_list, wait
 
 
-def test_an_event_that_either_node_sends_first_is_applied_once_and_confirmed_to_both(make_client):
+def test_a_purge_received_from_two_nodes_is_applied_once_and_confirmed_to_both(make_client):
     harness = make_client()
     start_with_list(harness)
     assert harness.target.active == {"a", "b"}
@@ -24,37 +24,37 @@
     assert harness.discovery.calls == ["pause"]
 
 
-def test_a_load_report_is_sent_to_the_primary_and_only_its_view_is_applied(make_client):
+def test_load_reports_are_sent_to_the_primary_and_only_its_load_views_are_applied(make_client):
     views = []
     harness = make_client(apply_load_view=views.append)
     start_with_list(harness)
-    assert harness.client.report(b"what it saw")
+    assert harness.client.report(b"report")
     wait(lambda: any(line.startswith("report ") for line in harness.primary.received_lines))
     assert not any(line.startswith("report ") for line in harness.secondary.received_lines)
-    harness.secondary.broadcast(encode_load_view(LoadView(b"another's")))
-    harness.primary.broadcast(encode_load_view(LoadView(b"its own")))
+    harness.secondary.broadcast(encode_load_view(LoadView(b"view of the secondary")))
+    harness.primary.broadcast(encode_load_view(LoadView(b"view of the primary")))
     wait(lambda: views)
     gevent.sleep(0.1)
-    assert views == [b"its own"]
+    assert views == [b"view of the primary"]
     harness.client.leave()
-    assert not harness.client.report(b"what it saw")
+    assert not harness.client.report(b"report")
 
 
 def test_a_new_stream_is_confirmed_by_its_own_indices(make_client):
     harness = make_client(1)
     start_with_list(harness)
     node = harness.nodes[0]
-    for moment in range(3):
-        node.purge(7, 0, 100 + moment)
+    for elapsed_ms in range(3):
+        node.purge(7, 0, 100 + elapsed_ms)
     wait(lambda: "applied 4" in node.received_lines)
-    node.stream, node.event_lines, node.received_lines = "anew", [], []
+    node.stream, node.event_lines, node.received_lines = "second-stream", [], []
     node.announce([cache("a")], full_list=True)
     node.drop_connections()
     wait(lambda: "applied 1" in node.received_lines)
     assert "applied 4" not in node.received_lines and harness.target.active == {"a"}
 
 
-def test_nothing_of_a_snapshot_is_confirmed_before_its_last_index(make_client):
+def test_a_snapshot_is_confirmed_only_after_the_event_of_its_last_index(make_client):
     harness = make_client(1)
     node = harness.nodes[0]
     node.snapshot_to, node.sends_heartbeats = 9, False
@@ -62,13 +62,13 @@
     node.purge(7, 0, 100)
     harness.start()
     wait(lambda: harness.target.purges)
-    node.broadcast(b"9\n")  # a last index alone proves nothing
+    node.broadcast(b"9\n")  # a heartbeat with the last index does not end the snapshot
     node.broadcast(b'{"index":9,"evict":{"ref":"8","unix_ms":100}}\n')
     wait(lambda: any(line.startswith("applied") for line in node.received_lines))
     assert [line for line in node.received_lines if line.startswith("applied")] == ["applied 9"]
 
 
-def test_a_rejected_version_is_answered_with_its_reason_and_the_last_good_one_stays(make_client):
+def test_a_rejected_configuration_is_answered_with_the_reason_and_the_previous_one_stays(make_client):
     harness = make_client()
     harness.target.rejections = {5: "no such field"}
     start_with_list(harness)
@@ -87,27 +87,27 @@
     assert harness.client.status()["version"] == 4
     answers = ["configured 4", "refused 5 no such field"]
     sent = [line for line in harness.primary.received_lines if line in answers]
-    harness.primary.drop_connections()  # what may have been lost with the connection is sent again
+    harness.primary.drop_connections()  # the answer may have been lost and is sent again
     wait(lambda: len([line for line in harness.primary.received_lines if line in answers]) == len(sent) + 1)
 
 
-def test_an_event_that_can_not_be_applied_is_requested_again_and_never_confirmed(make_client):
+def test_a_failed_event_is_requested_again_and_not_confirmed_if_it_fails_twice(make_client):
     harness = make_client(1)
     start_with_list(harness)
     node = harness.nodes[0]
     harness.target.failures_left = 1
     node.purge(7, 0, 100)
-    wait(lambda: "applied 2" in node.received_lines)  # at the second attempt
+    wait(lambda: "applied 2" in node.received_lines)  # applied at the second attempt
     assert [purge.object_id for purge in harness.target.purges] == [7]
     harness.target.failures_left = 2
     node.purge(8, 0, 100)
     node.purge(9, 0, 100)
     wait(lambda: [purge.object_id for purge in harness.target.purges] == [7, 9])
-    wait(lambda: harness.target.limits)  # a purge is missing: the age of cached objects is limited
+    wait(lambda: harness.target.limits)  # purge 8 is missing, so the age of cached objects is limited
     assert not {"applied 3", "applied 4"} & {*node.received_lines}
 
 
-def test_shutdown_is_announced_and_nothing_is_confirmed_or_connected_after_it(make_client):
+def test_after_the_shutdown_announcement_nothing_is_confirmed_and_no_connection_is_opened(make_client):
     harness = make_client(1)
     start_with_list(harness)
     node = harness.nodes[0]
@@ -115,9 +115,9 @@
     wait(lambda: "leave" in node.received_lines)
     node.purge(7, 0, 100)
     wait(lambda: harness.target.purges)
-    gevent.sleep(0.5)  # a confirmation would be written after 0.2 s at the most
+    gevent.sleep(0.5)  # a confirmation would be sent within 0.2 s
     assert node.received_lines[-1] == "leave"
     node.drop_connections()
     wait(lambda: harness.discovery.calls == ["pause", "resume"])
-    gevent.sleep(0.6)  # longer than the first backoff and the interval of confirmations
+    gevent.sleep(0.6)  # longer than the first backoff and the confirmation interval
     assert node.received_lines[-1] == "leave" and node.connection_count == 1
--- a/tests/control/front_client/test_client_connections.py
+++ b/tests/control/front_client/test_client_connections.py
@@ -1,4 +1,4 @@
-"""A front's client resumes lost connections, and ends those that send what it can not accept."""
+"""A control plane client resumes lost connections, and closes those on which it receives invalid data."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    "data, name",
+    "data, error_name",
     [
         (b"garbage\n", "InvalidLineError"),
         (b'{"index":9,"evict":{"ref":"8","unix_ms":100}}\n', "SequenceError"),
@@ -34,14 +34,14 @@
         (b'{"index":', "SilentNodeError"),
     ],
 )
-def test_invalid_and_incomplete_lines_end_the_connection_and_lose_no_event(make_client, data, name):
+def test_invalid_and_incomplete_lines_end_the_connection_and_lose_no_event(make_client, data, error_name):
     harness = make_client(1)
     start_with_list(harness)
     node = harness.nodes[0]
     node.sends_heartbeats = False
     node.broadcast(data)
     wait(lambda: harness.counters.counts["control.connection_lost"])
-    assert harness.disconnect_reasons()[-1].startswith(name)
+    assert harness.disconnect_reasons()[-1].startswith(error_name)
     node.sends_heartbeats = True
     node.purge(7, 0, 100)
     wait(lambda: "applied 2" in node.received_lines)
@@ -62,7 +62,7 @@
         ),
     ],
 )
-def test_a_server_that_is_no_node_of_this_deployment_is_logged_and_not_used(make_client, first_line, reason):
+def test_a_server_that_is_not_the_expected_node_is_logged_and_not_used(make_client, first_line, reason):
     harness = make_client(1)
     node = harness.nodes[0]
     node.first_line = first_line
--- a/tests/control/front_client/test_client_endpoint_lists.py
+++ b/tests/control/front_client/test_client_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Which list of caches a front's client has in force, of its nodes' and of the discovery service's."""
+"""Which list of caches a control plane client has in force: that of a node or of the discovery service."""
 
 from marbleglade.model.upstream import UpstreamState
 from marbleglade.model.watch_event import EndpointListChange, Purge
@@ -12,13 +12,13 @@
     remaining = harness.secondary
     remaining.announce([cache("c")])
     wait(lambda: "applied 2" in remaining.received_lines)
-    assert harness.target.active == {"a", "b"}  # as the primary has it
+    assert harness.target.active == {"a", "b"}  # the list of the primary is in force
     harness.primary.close()
     wait(lambda: harness.target.active == {"a", "b", "c"})
     assert len([line for line in remaining.received_lines if line.startswith("follow ")]) == 1
 
 
-def test_a_cache_that_the_secondary_withdraws_stays_withdrawn_though_the_primary_lists_it(make_client):
+def test_a_cache_withdrawn_by_the_secondary_stays_withdrawn_while_the_primary_lists_it(make_client):
     harness = make_client()
     start_with_list(harness)
     harness.secondary.announce([cache("a", "leaving", 5)])
@@ -31,7 +31,7 @@
     wait(lambda: "a" in harness.target.active)
 
 
-def test_without_nodes_it_follows_discovery_and_no_removed_cache_is_used_again(make_client):
+def test_without_nodes_the_client_follows_discovery_and_uses_no_removed_cache(make_client):
     harness = make_client()
     start_with_list(harness)
     harness.primary.announce([cache("b", "left", 1)])
@@ -42,7 +42,7 @@
     replayed = [endpoint("b"), endpoint("b", UpstreamState.REMOVED), endpoint("e")]
     for index, replayed_endpoint in enumerate(replayed, 1):
         harness.client.handle_discovery_event(EndpointListChange(index, False, [replayed_endpoint]))
-        assert harness.target.active == {"a"}  # unchanged until the replay has reached the last index
+        assert harness.target.active == {"a"}  # the list is not applied before the replay is complete
     harness.client.handle_discovery_event(Purge(4, 9, 0, 100))
     assert [purge.object_id for purge in harness.target.purges] == [9]
     harness.client.handle_discovery_complete()
@@ -53,7 +53,7 @@
     assert harness.target.active == {"a"}
 
 
-def test_the_list_of_a_restarted_discovery_service_is_used_once_it_is_complete(make_client):
+def test_the_list_of_a_restarted_discovery_service_is_applied_once_it_is_complete(make_client):
     harness = make_client(0)
     for index, name in enumerate("ab", 1):
         harness.client.handle_discovery_event(EndpointListChange(index, index == 1, [endpoint(name)]))
--- a/tests/control/front_client/test_client_failover.py
+++ b/tests/control/front_client/test_client_failover.py
@@ -1,4 +1,4 @@
-"""A front's client replaces silent and lost nodes, and limits the age of cached objects meanwhile."""
+"""A control plane client replaces silent and lost nodes, and limits the age of cached objects meanwhile."""
 
 import gevent
 
@@ -8,12 +8,12 @@
 from tests.harness.units import NS_PER_MS
 
 
-def test_a_silent_node_loses_no_purge_and_is_replaced(make_client):
+def test_a_silent_node_is_replaced_and_no_purge_is_lost(make_client):
     harness = make_client(3)
     start_with_list(harness)
     silent, remaining = harness.primary, harness.secondary
     third = next(node for node in harness.nodes if node not in (silent, remaining))
-    silent.silent = True  # it accepts, and writes nothing
+    silent.silent = True  # accepts connections and sends nothing
     remaining.purge(7, 0, 100)
     wait(lambda: [purge.object_id for purge in harness.target.purges] == [7])
     wait(lambda: harness.client.primary == remaining.name)
@@ -28,7 +28,7 @@
 
 
 def test_a_node_that_sends_only_load_views_counts_as_silent(make_client):
-    """It makes them of the reports of fronts, and receives nothing of its discovery service."""
+    """A node without its discovery service still sends load views, which it computes from load reports."""
     views = []
     harness = make_client(3, apply_load_view=views.append)
     start_with_list(harness)
@@ -42,7 +42,7 @@
     assert any("SilentNodeError" in reason for reason in harness.disconnect_reasons())
 
 
-def test_nodes_that_return_are_used_again(make_client):
+def test_restarted_nodes_are_used_again(make_client):
     harness = make_client()
     start_with_list(harness)
     for node in harness.nodes:
@@ -57,7 +57,7 @@
     wait(lambda: harness.target.active == {"z"})
 
 
-def test_purges_that_may_be_missed_limit_the_age_of_cached_objects_until_a_source_is_complete(make_client):
+def test_the_age_of_cached_objects_is_limited_while_purges_may_be_missed(make_client):
     harness = make_client()
     start_with_list(harness)
     for node in harness.nodes:
--- a/tests/control/front_client/test_delta_merge.py
+++ b/tests/control/front_client/test_delta_merge.py
@@ -1,4 +1,4 @@
-"""Changes of the list of caches merge into one equivalent change, within a bound."""
+"""Changes of the list of caches are merged into one equivalent change of bounded length."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from tests.control.front_client.endpoints import endpoint
 
 
-def test_a_complete_list_drops_removed_caches_and_merged_changes_keep_them():
+def test_removed_caches_are_kept_until_a_complete_list_was_merged():
     merged = MergedListChange()
     merged.add(EndpointListChange(1, False, [endpoint("a"), endpoint("b", UpstreamState.REMOVED)], ["c"]))
     assert [cache.id for cache in merged.as_change().endpoints] == ["a", "b"]
@@ -18,7 +18,7 @@
     assert merged.as_change() == EndpointListChange(3, True, [endpoint("c")], [])
 
 
-def test_a_list_over_the_bound_is_rejected_and_nothing_of_it_is_added():
+def test_a_change_that_exceeds_the_maximum_length_is_rejected_and_not_merged():
     merged = MergedListChange()
     merged.add(EndpointListChange(1, False, [endpoint("b", UpstreamState.REMOVED)]))
     merged.add(EndpointListChange(1, True, [endpoint("a")]))
--- a/tests/control/front_client/test_front_process.py
+++ b/tests/control/front_client/test_front_process.py
@@ -1,4 +1,4 @@
-"""A front as a process with the control plane: failing nodes, the fallback to discovery, shutdown."""
+"""A front process with a control plane: failing nodes, the fallback to the discovery service, shutdown."""
 
 import json
 import os
@@ -18,21 +18,22 @@
 from tests.harness.servers import LineServer
 from tests.harness.settings import endpoint_entry, front_configuration
 
-PURGE_DEADLINE_S = 2.6  # the default of the settings
+PURGE_DEADLINE_S = 2.6  # the default in the settings of the control plane
 
 
 def cache(id, state="active"):
-    """A cache as the discovery service and the nodes list it."""
+    """An entry of the list of caches, as the discovery service and the nodes send it."""
     return endpoint_entry(id, state=state, started_ms=1)
 
 
-def list_line(index, servers, whole=False):
-    """The line of a list change."""
-    return orjson.dumps({"index": index, "endpoints": {"full": whole, "servers": servers}}) + b"\n"
+def list_line(index, servers, full_list=False):
+    """The line of a list change event."""
+    return orjson.dumps({"index": index, "endpoints": {"full": full_list, "servers": servers}}) + b"\n"
 
 
 @pytest.fixture
 def control_plane(tmp_path):
+    """Creates control planes, and closes them after the test."""
     planes = []
 
     def make(*args, **options):
@@ -46,13 +47,14 @@
 
 @pytest.fixture
 def discovery():
+    """A discovery service."""
     service = DiscoveryService()
     yield service
     service.close()
 
 
-def purge_until_applied(plane, discovery, object_id):
-    """Purges an object; returns the seconds until the front has applied it."""
+def seconds_until_purge_received(plane, discovery, object_id):
+    """Purges an object, and returns the seconds until the front has received the purge."""
     count_before, started_at = plane.front.counter("purge.received"), time.monotonic()
     discovery.purge(object_id, 0, clock.unix_ns() // 1_000_000)
     plane.wait_until(lambda: plane.front.counter("purge.received") > count_before)
@@ -67,27 +69,27 @@
         plane.start_node(name)
     plane.start_front(known={"index": 0, "updates": []})
     plane.wait_until(lambda: len(plane.current_nodes()) == 2 and plane.cache_states() == {"k": "ACTIVE"})
-    assert len(discovery.watchers) == 3  # the nodes alone follow it now
-    assert purge_until_applied(plane, discovery, 7) < PURGE_DEADLINE_S
+    assert len(discovery.watchers) == 3  # the three nodes; the front has closed its own watch
+    assert seconds_until_purge_received(plane, discovery, 7) < PURGE_DEADLINE_S
     primary = plane.front.counters_event()["control"]["primary"]
     plane.processes.send_signal(signal_number, primary)
-    assert purge_until_applied(plane, discovery, 8) < PURGE_DEADLINE_S
+    assert seconds_until_purge_received(plane, discovery, 8) < PURGE_DEADLINE_S
     plane.wait_until(lambda: len(plane.current_nodes() - {primary}) == 2)
-    assert purge_until_applied(plane, discovery, 9) < PURGE_DEADLINE_S
+    assert seconds_until_purge_received(plane, discovery, 9) < PURGE_DEADLINE_S
     assert not plane.front.log.events(event="control", source="discovery") and plane.cache_states() == {
         "k": "ACTIVE"
     }
     assert not [line for line in plane.front.log.events(event="control") if "age_limit_ms" in line]
 
 
-def status(plane):
-    """The status of the deployment, by the command line."""
+def deployment_status(plane):
+    """The status of the deployment, as printed by `marbleglade control status`."""
     result = run_program("control", "status", plane.settings_file, "--json")
     assert result.returncode == 0, result.stderr
     return json.loads(result.stdout)
 
 
-def test_a_purge_is_done_only_once_the_front_applied_it_and_its_shutdown_is_known(control_plane, discovery):
+def test_status_shows_an_applied_purge_as_done_and_a_stopped_front_as_left(control_plane, discovery):
     plane = control_plane(2, scripted=False, discovery_address=discovery.address)
     discovery.announce_address("k", ("127.0.0.1", 9), "box", full_list=True, started_ms=1)
     for name in plane.names:
@@ -96,14 +98,14 @@
     plane.wait_until(lambda: len(plane.current_nodes()) == 2)
     plane.front.process.send_signal(signal.SIGSTOP)
     discovery.purge(7, 0, clock.unix_ns() // 1_000_000)
-    plane.wait_until(lambda: len(status(plane)["purges"]) == 1)
-    assert status(plane)["purges"][0]["lacking"] == {"count": 1, "first": ["n3"]}
+    plane.wait_until(lambda: len(deployment_status(plane)["purges"]) == 1)
+    assert deployment_status(plane)["purges"][0]["lacking"] == {"count": 1, "first": ["n3"]}
     plane.front.process.send_signal(signal.SIGCONT)
-    plane.wait_until(lambda: status(plane)["purges"][0]["done"])
+    plane.wait_until(lambda: deployment_status(plane)["purges"][0]["done"])
     assert plane.front.counter("control.purge") == 1
     plane.front.process.send_signal(signal.SIGTERM)
     plane.wait_until(lambda: plane.front.process.poll() is not None)
-    assert status(plane)["fronts"] == {
+    assert deployment_status(plane)["fronts"] == {
         "listed": 1,
         "connected": 0,
         "left": 1,
@@ -112,7 +114,7 @@
 
 
 def start_with_two_nodes(control_plane, **options):
-    """A front that uses two scripted nodes, which list a and b."""
+    """Starts a front with two scripted nodes that list the caches a and b."""
     plane = control_plane(**options)
     for node in plane.nodes.values():
         node.announce([cache("a"), cache("b")], full_list=True)
@@ -125,7 +127,7 @@
     return plane
 
 
-def test_without_nodes_a_front_follows_discovery_and_no_removed_cache_is_used_again(control_plane):
+def test_without_nodes_a_front_follows_discovery_and_uses_no_removed_cache(control_plane):
     plane = start_with_two_nodes(control_plane)
     for node in plane.nodes.values():
         node.announce([cache("a", "leaving")])
@@ -136,21 +138,21 @@
     plane.wait_until(lambda: len(plane.discovery.lines) == 2)
     assert plane.discovery.lines == ["follow 2", "follow 2"]
     replay = [
-        list_line(3, [cache("a"), cache("b"), cache("e")], whole=True),
+        list_line(3, [cache("a"), cache("b"), cache("e")], full_list=True),
         list_line(4, [cache("a", "leaving")]),
         b'{"index":5,"evict":{"ref":"9","unix_ms":100}}\n',
         list_line(6, [cache("b", "left")]),
     ]
     plane.discovery.sockets[-1].sendall(b"".join(replay))
     plane.wait_until(lambda: plane.front.counter("control.purge") == 1)  # purges are applied at once
-    assert plane.cache_states() == {"a": "DRAINING"}  # lists once the replay has reached the last index
+    assert plane.cache_states() == {"a": "DRAINING"}  # lists are applied after the last index
     plane.discovery.sockets[-1].sendall(b"6\n")
     plane.wait_until(lambda: plane.cache_states() == {"a": "DRAINING", "e": "ACTIVE"})
     plane.discovery.sockets[-1].sendall(list_line(7, [cache("e", "leaving")]))
     plane.wait_until(lambda: plane.cache_states() == {"a": "DRAINING", "e": "DRAINING"})
 
 
-def test_nodes_that_return_are_used_and_the_watch_of_discovery_is_closed(control_plane):
+def test_restarted_nodes_are_used_again_and_the_watch_of_discovery_is_closed(control_plane):
     plane = start_with_two_nodes(control_plane)
     for node in plane.nodes.values():
         node.close()
@@ -166,9 +168,9 @@
     assert plane.discovery.sockets[-1].recv(1) == b""  # the front has closed it
 
 
-def test_purges_that_may_be_missed_limit_the_age_of_cached_objects_until_a_source_is_complete(control_plane):
+def test_the_age_of_cached_objects_is_limited_while_purges_may_be_missed(control_plane):
     plane = start_with_two_nodes(control_plane, settings="purge_deadline_ms: 2000")
-    plane.discovery.accept_loop.kill()  # it accepts no connections any more
+    plane.discovery.accept_loop.kill()  # it no longer accepts connections
     for node in plane.nodes.values():
         node.silent = True
     plane.wait_until(lambda: plane.front.log.events(event="control", age_limit_ms=1500))
@@ -225,7 +227,7 @@
     assert plane.front.counters_event()["control"]["version"] == 4
     for node in plane.nodes.values():
         node.close()
-    assert new_discovery.wait_for_lines(1) == "follow 2"  # the address of the version, once no node is left
+    assert new_discovery.wait_for_lines(1) == "follow 2"  # the front uses the address of the applied version
     new_discovery.close()
 
 
@@ -251,7 +253,7 @@
         ),
     ],
 )
-def test_invalid_settings_end_the_front_with_one_line(tmp_path, text, expected):
+def test_invalid_settings_end_the_front_with_an_error_of_one_line(tmp_path, text, expected):
     (tmp_path / "front.json").write_text(json.dumps(front_configuration()))
     if text is not None:
         (tmp_path / "control").write_text(text)
@@ -260,7 +262,7 @@
     assert result.returncode == 2 and expected in result.stderr and result.stderr.count("\n") == 1
 
 
-def test_a_front_without_a_control_plane_imports_nothing_of_it(tmp_path):
+def test_a_front_without_a_control_plane_imports_no_module_of_it(tmp_path):
     (tmp_path / "front.json").write_text(json.dumps(front_configuration()))
     program = (
         "import os, sys, marbleglade.__main__, marbleglade.service.front_process\n"
--- a/tests/control/front_client/test_list_sources.py
+++ b/tests/control/front_client/test_list_sources.py
@@ -1,4 +1,4 @@
-"""Which list of caches is in force at a front, and a model of several sources that lag differently."""
+"""Which list of caches is in force at a front, tested with a model of sources that lag differently."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -12,7 +12,7 @@
 
 
 class FrontCaches:
-    """The list as a front holds it: state and start of each cache by its id."""
+    """The list of caches of a front: state and start of each cache, by its id."""
 
     def __init__(self):
         self.by_id = {}
@@ -38,10 +38,10 @@
 
 
 class ListModel(RuleBasedStateMachine):
-    """One history of the list, sent by several sources that lag differently and are active in turn.
+    """A history of list changes, sent by several sources that lag differently and are active in turn.
 
-    No cache is in use that any source has withdrawn, unless it was started later; an active source that has
-    sent the whole history leaves the front with the list as it is.
+    No cache that a source has withdrawn is active, unless it was started again later. If the active source
+    has sent the whole history, the front has the latest list.
     """
 
     NAMES = ("a", "b", "c")
@@ -51,10 +51,10 @@
         self.front = FrontCaches()
         self.sources = ListSources(self.front.apply, self.front.withdraw)
         self.history, self.starts = [], dict.fromkeys(self.NAMES, 0)
-        self.truth = FrontCaches()
-        self.sent = {DISCOVERY: 0}  # how much of the history each source has sent
+        self.latest_list = FrontCaches()
+        self.sent = {DISCOVERY: 0}  # number of changes of the history that each source has sent
         self.serial = 0
-        self.withdrawn = {}  # the latest start of each cache that any source withdrew
+        self.withdrawn = {}  # the latest start of each cache that a source withdrew
 
     def _send(self, stream, change):
         self.sources.handle_change(stream, change)
@@ -69,18 +69,18 @@
         state=st.sampled_from([UpstreamState.ACTIVE, UpstreamState.DRAINING, UpstreamState.REMOVED]),
     )
     def list_changes(self, name, state):
-        known = self.truth.by_id.get(name)
+        known = self.latest_list.by_id.get(name)
         if state == UpstreamState.ACTIVE:
             self.starts[name] += 1
         elif known is None or known[0] == state:
             return
         change = EndpointListChange(len(self.history) + 1, False, [endpoint(name, state, self.starts[name])])
         self.history.append(change)
-        self.truth.apply(change)
+        self.latest_list.apply(change)
 
     @rule()
     def node_connects(self):
-        """A snapshot: the whole list, with live changes ahead of it."""
+        """A node connects, and sends a snapshot with the present list."""
         self.serial += 1
         stream, at = f"n{self.serial % 3}.{self.serial}", len(self.history)
         for old in [known for known in self.sent if known.startswith(f"n{self.serial % 3}.")]:
@@ -111,29 +111,29 @@
 
     @rule()
     def discovery_becomes_active(self):
-        """Only once its replay has reached the last index."""
+        """The discovery service is activated only after its replay has reached the last index."""
         for change in self.history[self.sent[DISCOVERY] :]:
             self._send(DISCOVERY, change)
         self.sent[DISCOVERY] = len(self.history)
         self.sources.activate(DISCOVERY)
 
     @invariant()
-    def no_withdrawn_cache_is_used(self):
+    def no_withdrawn_cache_is_active(self):
         for name, (state, started_ms) in self.front.by_id.items():
             assert state != UpstreamState.ACTIVE or started_ms > self.withdrawn.get(name, 0), name
 
     @invariant()
-    def the_active_source_decides_once_it_has_sent_all(self):
+    def the_front_has_the_latest_list_once_the_active_source_has_sent_all_changes(self):
         source = self.sources.active
         if self.sent.get(source) == len(self.history):
-            assert active_caches(self.front) == active_caches(self.truth)
+            assert active_caches(self.front) == active_caches(self.latest_list)
 
 
 TestLists = ListModel.TestCase
 TestLists.settings = settings(max_examples=80, stateful_step_count=40, derandomize=True, deadline=None)
 
 
-def test_live_changes_that_precede_the_complete_list_of_a_snapshot_are_newer_than_it():
+def test_live_changes_sent_before_the_complete_list_of_a_snapshot_override_the_list():
     front = FrontCaches()
     sources = ListSources(front.apply, front.withdraw)
     sources.begin_snapshot("s")
@@ -148,7 +148,7 @@
     assert front.by_id == {"b": (UpstreamState.ACTIVE, 2), "c": (UpstreamState.ACTIVE, 1)}
 
 
-def test_a_cache_that_is_listed_again_with_the_same_start_is_used_again():
+def test_a_cache_that_is_listed_as_active_again_with_the_same_start_is_used_again():
     front = FrontCaches()
     sources = ListSources(front.apply, front.withdraw)
     for stream in ("one", "two"):
@@ -156,12 +156,12 @@
     sources.activate("one")
     for state in (UpstreamState.DRAINING, UpstreamState.ACTIVE):
         sources.handle_change("one", EndpointListChange(2, False, [endpoint("a", state)]))
-    # The second source is late: the withdrawal was revoked meanwhile.
+    # The second source sends the withdrawal after the active source has revoked it.
     sources.handle_change("two", EndpointListChange(2, False, [endpoint("a", UpstreamState.DRAINING)]))
     assert front.by_id == {"a": (UpstreamState.ACTIVE, 1)}
 
 
-def test_stored_withdrawals_are_bounded():
+def test_the_number_of_stored_withdrawals_is_bounded():
     sources = ListSources(lambda _change: None, lambda _change: None)
     for number in range(MAX_WITHDRAWALS + 10):
         sources.handle_change(
--- a/tests/control/front_client/test_node_selection.py
+++ b/tests/control/front_client/test_node_selection.py
@@ -1,4 +1,4 @@
-"""Which control nodes a front uses: order of preference, equal shares, zones, backoff, the primary."""
+"""The selection of control nodes: order of preference, equal shares, zones, backoff and the primary."""
 
 from collections import Counter
 
@@ -25,7 +25,7 @@
     return NodeSettings(name, region, zone, ("127.0.0.1", 1), ("127.0.0.1", 2))
 
 
-def plane(nodes, fronts=tuple(FRONTS)):
+def make_settings(nodes, fronts=tuple(FRONTS)):
     regions = (
         RegionSettings("east", ("127.0.0.1", 3), tuple(fronts)),
         RegionSettings("west", ("127.0.0.1", 3), ("w1",)),
@@ -33,23 +33,25 @@
     return ControlSettings("d", regions, tuple(nodes), 2600, 5000, 6144)
 
 
-EIGHT = [node(f"n{number}", "east" if number < 4 else "west", f"z{number % 4}") for number in range(8)]
+EIGHT_NODES = [node(f"n{number}", "east" if number < 4 else "west", f"z{number % 4}") for number in range(8)]
 
 
 def names(nodes):
     return [node.name for node in nodes]
 
 
-def test_the_own_region_is_ranked_first_in_an_order_that_is_not_that_of_the_settings():
-    order = names(rank_nodes(plane(EIGHT), "f1"))
-    assert {*order[:4]} == {"n0", "n1", "n2", "n3"} and order == names(rank_nodes(plane(EIGHT[::-1]), "f1"))
-    assert {*names(rank_nodes(plane(EIGHT), "w1"))[:4]} == {"n4", "n5", "n6", "n7"}
+def test_nodes_of_the_own_region_rank_first_regardless_of_the_order_in_the_settings():
+    order = names(rank_nodes(make_settings(EIGHT_NODES), "f1"))
+    assert {*order[:4]} == {"n0", "n1", "n2", "n3"} and order == names(
+        rank_nodes(make_settings(EIGHT_NODES[::-1]), "f1")
+    )
+    assert {*names(rank_nodes(make_settings(EIGHT_NODES), "w1"))[:4]} == {"n4", "n5", "n6", "n7"}
 
 
 @pytest.mark.parametrize("failed", [None, "n0", "n3"])
 def test_nodes_serve_equal_shares_of_the_fronts_also_after_one_failed(failed):
-    remaining = [node for node in EIGHT if node.name != failed]
-    pairs = [names(best_pair(rank_nodes(plane(remaining), front))) for front in FRONTS]
+    remaining = [node for node in EIGHT_NODES if node.name != failed]
+    pairs = [names(best_pair(rank_nodes(make_settings(remaining), front))) for front in FRONTS]
     for position in (0, 1):
         shares = Counter(pair[position] for pair in pairs)
         fair = len(FRONTS) / (4 if failed is None else 3)
@@ -57,16 +59,16 @@
 
 
 def test_only_the_fronts_of_a_failed_node_select_another():
-    remaining = [node for node in EIGHT if node.name != "n2"]
+    remaining = [node for node in EIGHT_NODES if node.name != "n2"]
     for front in FRONTS:
-        before = names(best_pair(rank_nodes(plane(EIGHT), front)))
+        before = names(best_pair(rank_nodes(make_settings(EIGHT_NODES), front)))
         if "n2" not in before:
-            assert names(best_pair(rank_nodes(plane(remaining), front))) == before
+            assert names(best_pair(rank_nodes(make_settings(remaining), front))) == before
 
 
 def test_the_second_node_is_in_another_zone_if_there_is_one():
     nodes = [node("a1", zone="a"), node("a2", zone="a"), node("b1", "west", "b")]
-    assert {selected.zone for selected in best_pair(rank_nodes(plane(nodes), "f1"))} == {"a", "b"}
+    assert {selected.zone for selected in best_pair(rank_nodes(make_settings(nodes), "f1"))} == {"a", "b"}
     assert len(best_pair(nodes[:2])) == 2 and names(best_pair(nodes[:1])) == ["a1"] and best_pair([]) == []
 
 
@@ -117,7 +119,7 @@
     assert names(node_selection.nodes_to_use(REJECTED_BACKOFF_NS // 2 - 1, set())) == ["n1", "n2"]
 
 
-def test_a_connection_is_surplus_only_once_better_ones_are_up_to_date():
+def test_a_connection_is_surplus_only_once_the_preferred_nodes_are_current():
     node_selection = make_selection()
     connected = {"n0", "n1", "n2"}
     assert node_selection.surplus(0, connected, {"n1", "n2"}) == set()
@@ -127,11 +129,11 @@
 
 def test_the_primary_is_the_best_current_node_else_the_present_one_else_one_with_a_list():
     nodes = make_selection().preferred
-    every = {"n0", "n1", "n2"}
-    assert next_primary(nodes, None, every, set(), set()) is None
-    assert next_primary(nodes, None, every, {"n2"}, set()) == "n2"
-    assert next_primary(nodes, "n2", every, every, set()) == "n2"
-    assert next_primary(nodes, "n2", every, every, {"n1", "n2"}) == "n1"
+    greeted = {"n0", "n1", "n2"}
+    assert next_primary(nodes, None, greeted, set(), set()) is None
+    assert next_primary(nodes, None, greeted, {"n2"}, set()) == "n2"
+    assert next_primary(nodes, "n2", greeted, greeted, set()) == "n2"
+    assert next_primary(nodes, "n2", greeted, greeted, {"n1", "n2"}) == "n1"
     assert next_primary(nodes, "n0", {"n1"}, {"n1"}, set()) == "n1"
     assert next_primary(nodes, "n0", set(), set(), set()) is None
 
--- a/tests/control/front_client/test_purge_coverage.py
+++ b/tests/control/front_client/test_purge_coverage.py
@@ -1,4 +1,4 @@
-"""Duplicate purges are recognised, and missed ones limit the age of cached objects."""
+"""Duplicate purges are detected, and possibly missed purges limit the age of cached objects."""
 
 from marbleglade.control.front_client.deduplication import RecentPurges
 from marbleglade.control.front_client.purge_coverage import PurgeCoverage
@@ -6,7 +6,7 @@
 from tests.harness.units import SECOND_NS
 
 
-def test_a_purge_is_a_duplicate_by_object_or_group_and_time_among_a_bounded_number():
+def test_duplicates_are_detected_by_object_or_group_and_time_among_a_bounded_number_of_purges():
     recent = RecentPurges(4)
     recent.record(Purge(1, 7, 3, 100))
     assert recent.is_duplicate(Purge(9, 7, 4, 100)) and not recent.is_duplicate(Purge(9, 7, 3, 101))
--- a/tests/control/front_client/test_stream_progress.py
+++ b/tests/control/front_client/test_stream_progress.py
@@ -1,4 +1,4 @@
-"""How far a front has applied a node's stream, what it may confirm, and a model of both."""
+"""How far a front has applied a node's stream and what it may confirm, also tested with a model."""
 
 import pytest
 from hypothesis import settings
@@ -18,14 +18,14 @@
     return Greeting("d", "n", stream, snapshot_to)
 
 
-def begun_progress(stream="s", snapshot_to=0):
+def progress_after_greeting(stream="s", snapshot_to=0):
     progress = StreamProgress()
     progress.begin(greeting(stream, snapshot_to))
     return progress
 
 
-def test_indices_follow_without_a_gap_and_duplicates_are_recognised():
-    progress = begun_progress()
+def test_duplicate_events_are_detected_and_a_gap_of_indices_is_an_error():
+    progress = progress_after_greeting()
     assert progress.is_new(1)
     progress.record_applied(1)
     assert not progress.is_new(1)
@@ -34,8 +34,8 @@
     assert progress.resume_from() == ("s", 1)
 
 
-def test_nothing_of_a_snapshot_is_confirmed_before_its_last_index():
-    progress = begun_progress(snapshot_to=9)
+def test_a_snapshot_is_confirmed_only_after_its_last_index():
+    progress = progress_after_greeting(snapshot_to=9)
     for index in (3, 5):
         assert progress.is_new(index)
         progress.record_applied(index)
@@ -49,14 +49,14 @@
 
 
 def test_another_stream_is_followed_from_its_first_event():
-    progress = begun_progress()
+    progress = progress_after_greeting()
     progress.record_applied(1)
     progress.begin(greeting("other"))
     assert (progress.applied, progress.take_confirmation(SECOND_NS)) == (0, None) and progress.is_new(1)
 
 
 def test_confirmations_are_coalesced():
-    progress = begun_progress()
+    progress = progress_after_greeting()
     progress.record_applied(1)
     assert progress.take_confirmation(SECOND_NS) == 1 and progress.next_confirmation_at() is None
     progress.record_applied(2)
@@ -66,15 +66,15 @@
     assert progress.take_confirmation(SECOND_NS + MIN_CONFIRMATION_INTERVAL_NS) == 3
 
 
-def test_a_last_index_that_decreases_is_a_sequence_error():
-    progress = begun_progress()
+def test_a_heartbeat_with_a_lower_index_is_a_sequence_error():
+    progress = progress_after_greeting()
     progress.record_applied(1)
     with pytest.raises(SequenceError):
         progress.record_heartbeat(0)
 
 
-def test_an_event_that_could_not_be_applied_is_requested_once_more_and_then_never_confirmed():
-    progress = begun_progress()
+def test_a_failed_event_is_requested_once_more_and_not_confirmed_if_it_fails_again():
+    progress = progress_after_greeting()
     progress.record_applied(1)
     assert progress.record_failure(2)
     progress.begin(greeting())
@@ -88,8 +88,8 @@
     )
 
 
-def test_a_snapshot_of_which_a_part_failed_is_requested_again_from_its_beginning():
-    progress = begun_progress(snapshot_to=5)
+def test_a_snapshot_with_a_failed_event_is_requested_again_from_its_beginning():
+    progress = progress_after_greeting(snapshot_to=5)
     progress.retried = True
     assert not progress.record_failure(2)
     progress.record_applied(5)
@@ -97,17 +97,17 @@
 
 
 class StreamModel(RuleBasedStateMachine):
-    """One node whose log grows, is compacted and restarts, and one front that loses it and connects again.
+    """A node whose event log grows, is compacted and restarts, and a front that disconnects and reconnects.
 
-    `effective` has every event whose effect the front has: what it applied, and what a complete snapshot
-    stands for. All events up to a confirmed index must be among them.
+    `effective` has the index of every event whose effect the front has: the applied events, and those that a
+    complete snapshot replaces. All events up to a confirmed index must be among them.
     """
 
     def __init__(self):
         super().__init__()
         self.stream, self.last, self.retained = 1, 0, 0
         self.progress, self.effective, self.now = StreamProgress(), set(), 0
-        self.queue = None  # indices that are on their way; None: not connected
+        self.queue = None  # indices of events in transit; None while not connected
 
     @rule(count=st.integers(1, 4))
     def append(self, count):
@@ -160,7 +160,7 @@
         self._complete_snapshot(index, set())
 
     def _complete_snapshot(self, index, failed):
-        """The last index of a snapshot stands for all up to it, unless a part of it was not applied."""
+        """A snapshot covers all events up to its last index, unless a part of it was not applied."""
         if self.snapshot_to and index == self.snapshot_to and self.queue is not None:
             self.snapshot_to = 0
             if not self.progress.first_failed:
@@ -183,7 +183,7 @@
             assert self.effective >= {*range(1, index + 1)}
 
     @invariant()
-    def no_event_is_left_out_by_what_is_requested(self):
+    def no_missing_event_is_skipped_on_resumption(self):
         stream, last = self.progress.resume_from()
         if stream == str(self.stream):
             assert self.effective >= {*range(1, last + 1)}
