--- a/benchmarks/scale/lightweight_host.py
+++ b/benchmarks/scale/lightweight_host.py
@@ -82,7 +82,7 @@
 
     def _handle_discovery_heartbeat(self, complete: bool) -> None:
         if self.control and complete:
-            self.control.handle_discovery_complete()
+            self.control.handle_discovery_caught_up()
 
     def _owned(self, run: Callable[[], None]) -> None:
         self.sockets.own()
--- a/marbleglade/control/front_client/client.py
+++ b/marbleglade/control/front_client/client.py
@@ -223,15 +223,15 @@
 
     # The discovery service
 
-    def add_known_change(self, change: EndpointListChange) -> None:
+    def add_startup_change(self, change: EndpointListChange) -> None:
         """Record a list change from the start-up configuration, which the front has already applied."""
-        self._lists.add_known_change(change)
+        self._lists.add_startup_change(change)
 
     def handle_discovery_event(self, event: EndpointListChange | Purge) -> None:
         """Handle an event of the front's own watch of the discovery service."""
         self._dispatcher.handle_discovery_event(event)
 
-    def handle_discovery_complete(self) -> None:
+    def handle_discovery_caught_up(self) -> None:
         """Handle that the front has caught up with the last index of the discovery service."""
         self._record_caught_up()
         if self.discovery_running and self.primary is None and self._lists.active != DISCOVERY:
--- a/marbleglade/control/front_client/list_sources.py
+++ b/marbleglade/control/front_client/list_sources.py
@@ -117,7 +117,7 @@
         if self.active == DISCOVERY:
             self.active = None
 
-    def add_known_change(self, change: EndpointListChange) -> None:
+    def add_startup_change(self, change: EndpointListChange) -> None:
         """Record a list change from the start-up configuration, which the front has already applied."""
         self.merged[DISCOVERY].add(change)
 
--- a/marbleglade/service/control_wiring.py
+++ b/marbleglade/service/control_wiring.py
@@ -158,7 +158,7 @@
     )
     for event in front.known_events:
         if isinstance(event, EndpointListChange):
-            client.add_known_change(event)
+            client.add_startup_change(event)
     return client
 
 
--- a/marbleglade/service/wiring.py
+++ b/marbleglade/service/wiring.py
@@ -106,7 +106,7 @@
 
     def handle_heartbeat(complete: bool) -> None:
         if late.control and complete:
-            late.control.handle_discovery_complete()
+            late.control.handle_discovery_caught_up()
 
     return WatchClient(
         configuration.discovery_address,
--- a/tests/control/front_client/test_client_endpoint_lists.py
+++ b/tests/control/front_client/test_client_endpoint_lists.py
@@ -45,7 +45,7 @@
         assert harness.target.active == {"a"}  # the list is not applied before the replay is complete
     harness.client.handle_discovery_event(Purge(4, 9, 0, 100))
     assert [purge.object_id for purge in harness.target.purges] == [9]
-    harness.client.handle_discovery_complete()
+    harness.client.handle_discovery_caught_up()
     assert harness.target.active == {"a", "e"}
     harness.client.handle_discovery_event(
         EndpointListChange(5, False, [endpoint("e", UpstreamState.DRAINING)])
@@ -57,7 +57,7 @@
     harness = make_client(0)
     for index, name in enumerate("ab", 1):
         harness.client.handle_discovery_event(EndpointListChange(index, index == 1, [endpoint(name)]))
-    harness.client.handle_discovery_complete()
+    harness.client.handle_discovery_caught_up()
     harness.client.handle_discovery_event(
         EndpointListChange(3, False, [endpoint("a", UpstreamState.REMOVED)])
     )
@@ -66,5 +66,5 @@
     for index, replayed_endpoint in enumerate(replayed, 1):
         harness.client.handle_discovery_event(EndpointListChange(index, index == 1, [replayed_endpoint]))
         assert harness.target.active == {"b"}
-    harness.client.handle_discovery_complete()
+    harness.client.handle_discovery_caught_up()
     assert harness.target.active == {"c"}
--- a/tests/control/front_client/test_client_failover.py
+++ b/tests/control/front_client/test_client_failover.py
@@ -48,7 +48,7 @@
     for node in harness.nodes:
         node.close()
     wait(lambda: harness.discovery.calls == ["pause", "resume"])
-    harness.client.handle_discovery_complete()
+    harness.client.handle_discovery_caught_up()
     for position, old in enumerate(harness.nodes):
         harness.nodes[position] = returned = StandInControlNode(old.name, "d", old.stream + "b", old.address)
         harness.by_name[old.name] = returned
@@ -64,5 +64,5 @@
         node.silent = True
     wait(lambda: harness.target.limits == [1950 * NS_PER_MS])
     assert harness.discovery.calls == ["pause", "resume"]
-    harness.client.handle_discovery_complete()
+    harness.client.handle_discovery_caught_up()
     wait(lambda: harness.target.limits == [1950 * NS_PER_MS, 0])
