--- a/marbleglade/disk/admission.py
+++ b/marbleglade/disk/admission.py
@@ -1,4 +1,4 @@
-"""Admission of new parts to a disk cache, and eviction of the parts that have to make space for them."""
+"""Admission of new parts to a disk cache, and eviction of cached parts to make space for them."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
     Args:
         eviction: The eviction policy.
-        budget: Budget of the bytes written.
-        entries: The entries.
-        files: The segment files, for the headers of evicted parts.
-        counters: Counts evicted and rejected parts.
+        budget: Budget of the bytes written to the disk.
+        entries: The index entries of the cached parts.
+        files: The segment files, from which the headers of evicted parts are read.
+        counters: Counters of evicted and rejected parts.
     """
 
     def __init__(
@@ -37,20 +37,20 @@
         self._files = files
         self._counters = counters
 
-    def try_admit(self, part_id: PartId, size: int, replaces: bool, now_ns: int) -> bool:
-        """Admit a new part if it is worth more than the parts to evict for it and the write budget allows it.
+    def try_admit(self, part_id: PartId, size: int, is_replacement: bool, now_ns: int) -> bool:
+        """Admit a new part if its value exceeds that of the parts to evict and the write budget suffices.
 
         Args:
-            part_id: The new part.
-            size: Bytes of its body.
-            replaces: It replaces a cached part and so needs no space.
-            now_ns: The present moment of the monotonic clock.
+            part_id: Id of the new part.
+            size: Size of its body in bytes.
+            is_replacement: Whether the part replaces a cached version of itself. Then nothing is evicted.
+            now_ns: Current monotonic time in nanoseconds.
 
         Returns:
-            True if the part is admitted; the other parts are evicted then.
+            True if the part is admitted. The parts that had to make space for it are evicted by then.
         """
         victims: list[int] | None = []
-        if not replaces:
+        if not is_replacement:
             victims = self._eviction.choose_victims(part_key(*part_id), size, part_id.part)
         if victims is None or not self._budget.try_write(size, now_ns):
             self._counters.not_admitted += 1
@@ -60,7 +60,7 @@
         return True
 
     def _evict(self, key: int) -> None:
-        """Remove the part of a key; the header of its record identifies the part."""
+        """Evict the part with this key. The header of its record on disk gives the part's id."""
         location = self._eviction.locate(key)
         if location is None:
             raise KeyError(key)
--- a/marbleglade/disk/compaction.py
+++ b/marbleglade/disk/compaction.py
@@ -1,4 +1,7 @@
-"""Compaction of a disk cache: frees segments that hold few live bytes by rewriting or dropping these."""
+"""Compaction of a disk cache: frees the segments with the fewest live bytes.
+
+The live parts of a freed segment are rewritten to the current segment or dropped.
+"""
 
 from __future__ import annotations
 
@@ -16,15 +19,15 @@
 
 
 def choose_segment(live_bytes: Mapping[int, int], lengths: Mapping[int, int], current: int) -> int | None:
-    """Choose the segment to compact: with the least share of live bytes, of several the oldest.
+    """Choose the segment to compact: the one with the smallest share of live bytes, the oldest on a tie.
 
     Args:
-        live_bytes: Live bytes of the segments.
-        lengths: All bytes of the segments.
-        current: The segment that is appended to; it is never chosen.
+        live_bytes: Live bytes of each segment, by segment number.
+        lengths: Length of each segment in bytes, by segment number.
+        current: Number of the segment to which records are appended. It is never chosen.
 
     Returns:
-        The segment's number; None if there is no other than the current one.
+        The number of the chosen segment, or None if there is only the current one.
     """
     return min(
         (number for number in lengths if number != current),
@@ -34,17 +37,17 @@
 
 
 class Compactor:
-    """Keeps the segments of a disk cache within their capacity.
+    """Keeps the total length of the segments of a disk cache within its limit.
 
     Args:
-        log: The segments.
-        entries: The entries.
-        eviction: The eviction policy, which counts the live bytes of each segment.
-        purge_marks: What is not worth rewriting.
+        log: The segment log.
+        entries: The index entries of the cached parts.
+        eviction: The eviction policy, which tracks the live bytes of each segment.
+        purge_marks: The purge marks. Purged parts are dropped instead of rewritten.
         budget: Budget of the bytes that may be rewritten.
-        capacity_bytes: Bytes that all segments may have together.
-        checkpoint: Makes everything written so far durable.
-        on_step: Called with each step.
+        capacity_bytes: Maximum total length of all segments in bytes.
+        checkpoint: Callback that makes all data written so far durable.
+        on_step: Callback that is called with each step.
     """
 
     def __init__(
@@ -68,7 +71,7 @@
         self._on_step = on_step
 
     def run(self) -> None:
-        """Free segments until all together are within their capacity."""
+        """Free segments until the total length of all segments is within the limit."""
         while sum(self._log.lengths.values()) > self._capacity_bytes:
             live_bytes = self._eviction.segment_live_bytes
             number = choose_segment(live_bytes, self._log.lengths, self._log.current)
@@ -76,7 +79,7 @@
                 return
             self._on_step(Step.COMPACTING)
             self._compact(number)
-            self._checkpoint()  # before the segment is removed, no durable entry may refer to it
+            self._checkpoint()  # no durable entry may refer to a segment that is removed
             self._on_step(Step.COMPACTED)
             self._log.remove_segment(number)
             live_bytes.pop(number, None)
--- a/marbleglade/disk/counters.py
+++ b/marbleglade/disk/counters.py
@@ -7,15 +7,15 @@
 
 @dataclass(slots=True)
 class DiskCacheCounters:
-    """What a disk cache counts from its start on.
+    """Counters of a disk cache since it was opened.
 
     Attributes:
-        torn_tails: Segments whose last record was incomplete at the start.
-        corrupt: Parts dropped because their record failed its check.
+        torn_tails: Segments that ended in an invalid or incomplete record when the cache was opened.
+        corrupt: Parts dropped on reading because their record was invalid.
         purged: Parts dropped on reading because they were purged.
-        recovered: Parts read from the segments at the start, as no commit held them.
-        evicted: Parts evicted for others.
-        not_admitted: New parts that were not admitted.
+        recovered: Parts restored, when the cache was opened, from records appended after the last commit.
+        evicted: Parts evicted to make space for others.
+        not_admitted: New parts that were not written because they were not admitted.
     """
 
     torn_tails: int = 0
--- a/marbleglade/disk/disk_cache.py
+++ b/marbleglade/disk/disk_cache.py
@@ -1,10 +1,15 @@
 """The disk cache: parts of objects in segment files, with a durable index, consistent after any crash.
 
-Order of writes: 1 a record is appended to the current segment; 2 the segment is synced; 3 entries and the
-checkpoint are committed to the index; 4 segments that no entry refers to any more are removed. A purge mark
-is committed before `purge` returns. After a crash the index is as of its last commit; the records appended
-since then are read from the checkpoint on, up to the first invalid one. A part is returned only after its own
-bytes were checked, and only if it is younger than every purge mark that applies to it.
+Order of writes:
+
+1. A record is appended to the current segment.
+2. The segment is synced.
+3. The entries and the checkpoint are committed to the index.
+4. Segments to which no entry refers any more are removed.
+
+A purge mark is committed before `purge` returns. After a crash, the index has the state of its last commit.
+The records that were appended since then are read from the checkpoint up to the first invalid record. A part
+is returned only if its body passes its checksum and its version was issued after every purge that applies.
 
 Not thread-safe: one thread at a time may use it.
 """
@@ -29,11 +34,11 @@
 from .steps import Step, ignore_step
 from .write_budget import WriteBudget
 
-MIN_SEGMENTS = 32  # of a full cache
-SEGMENT_OVERHEAD = 1.25  # capacity of the segments over that of live parts
+MIN_SEGMENTS = 32  # segments of a full cache, unless each would be smaller than MIN_SEGMENT_BYTES
+SEGMENT_OVERHEAD = 1.25  # ratio of the maximum total length of the segments to the capacity for live parts
 MIN_SEGMENT_BYTES = 1 << 16
 MIN_CHECKPOINT_BYTES = 1 << 16
-CHECKPOINT_SHARE = 64  # by default so many checkpoints while the cache is written once
+CHECKPOINTS_PER_CAPACITY = 64  # default number of checkpoints while as many bytes as the capacity are written
 MIN_EXPECTED_PARTS = 1 << 10
 EXPECTED_PART_BYTES = 8192
 MAX_UNCOMMITTED_REMOVALS = 1 << 12
@@ -41,19 +46,19 @@
 
 
 class DiskCache:
-    """A cache of parts on disk; opening it recovers what was written since its last checkpoint.
+    """A cache of parts on disk. Opening it restores the records written since the last checkpoint.
 
     Args:
-        files: Its segment files.
-        index: Its durable index.
-        capacity_bytes: Bytes of live parts.
-        budget: Budget of the bytes written.
-        seed: Seed of the eviction policy.
-        checkpoint_bytes: Bytes written between two checkpoints; 0: a share of the capacity.
-        on_step: Called with each step of a write, for tests that stop there.
+        files: The segment files.
+        index: The durable index.
+        capacity_bytes: Maximum total size of the live parts in bytes.
+        budget: Budget of the bytes written to the disk.
+        seed: Seed of the eviction policy's random samples.
+        checkpoint_bytes: Bytes written between two checkpoints, or 0 for a fixed fraction of the capacity.
+        on_step: Callback that is called with each step. Tests simulate crashes with it.
 
     Raises:
-        OSError: The disk failed; so does every method that reads or writes.
+        OSError: The disk failed. Every method that reads or writes raises it too.
     """
 
     def __init__(
@@ -70,7 +75,7 @@
         self.index = index
         self.budget = budget
         self._on_step = on_step
-        default_checkpoint_bytes = max(MIN_CHECKPOINT_BYTES, capacity_bytes // CHECKPOINT_SHARE)
+        default_checkpoint_bytes = max(MIN_CHECKPOINT_BYTES, capacity_bytes // CHECKPOINTS_PER_CAPACITY)
         self._checkpoint_bytes = checkpoint_bytes or default_checkpoint_bytes
         self._bytes_since_checkpoint = 0
         segments_bytes = int(capacity_bytes * SEGMENT_OVERHEAD)
@@ -102,7 +107,7 @@
         )
 
     def _recover(self) -> None:
-        """Restore what was appended since the checkpoint; older entries are read by `load`."""
+        """Restore the records appended since the last checkpoint. `load` loads the committed entries."""
         self.log.serial = self.index.metadata(MetadataKey.SERIAL)
         self.counters.torn_tails = self.log.replay(
             self.index.metadata(MetadataKey.CHECKPOINT_SEGMENT),
@@ -110,21 +115,21 @@
             Recovery(self.entries, self.purge_marks).restore,
         )
         self.counters.recovered = len(self.entries.uncommitted)
-        self.log.start_next_segment()  # nothing is appended to a tail that may be torn
+        self.log.start_next_segment()  # the tail of the last segment may be torn, so it is not appended to
         self.checkpoint()
         self.log.remove_empty_segments()
 
     def load(self, limit: int = ENTRIES_PER_LOAD) -> bool:
-        """Load up to `limit` entries of the index into memory; true if there are more.
+        """Load up to `limit` committed entries into the eviction policy. Return whether there are more.
 
-        Until all are loaded, the index itself is read for those that are not.
+        The cache can be used before all entries are loaded, as lookups read the index.
         """
         return self._loader.load(limit)
 
     # Reading.
 
     def get(self, object_id: int, part: int) -> CachedPart | None:
-        """Read and check a part, and record its use; None if it is not cached, purged or corrupt."""
+        """Read a part and record its use. Return None if the part is not cached, purged or corrupt."""
         part_id = PartId(object_id, part)
         self.eviction.record_use(part_key(*part_id))
         entry = self.entries.get(part_id)
@@ -146,29 +151,29 @@
     # Writing.
 
     def put(self, object_id: int, part: int, content: CachedPart, now_ns: int) -> bool:
-        """Write a part if it is admitted; true once it is written, though not yet synced.
+        """Write a part if it is admitted. Return whether it was written; it may not be synced yet.
 
         Args:
-            object_id: Number of the object.
+            object_id: Id of the object.
             part: Number of the part in its object.
-            content: The part. If its tag differs from the cached one, the other parts of the older version
-                are removed.
-            now_ns: The present moment of the monotonic clock, for the write budget.
+            content: The part. If its tag differs from that of the cached part, all parts of older versions of
+                the object are removed.
+            now_ns: Current monotonic time in nanoseconds, for the write budget.
         """
         part_id = PartId(object_id, part)
         size = len(content.body)
-        known = self.entries.get(part_id)
+        existing = self.entries.get(part_id)
         if (
             size > min(MAX_BODY_BYTES, self.log.segment_size)
             or self.purge_marks.is_purged(object_id, content.group, content.issued_ms)
-            or (known and known.issued_ms >= content.issued_ms)
+            or (existing and existing.issued_ms >= content.issued_ms)
         ):
             return False
         tag_number = int(content.tag, 16)
-        if known and known.tag != tag_number:
+        if existing and existing.tag != tag_number:
             self.entries.remove_older_versions(object_id, content.issued_ms)
-            known = None
-        if not self._admission.try_admit(part_id, size, known is not None, now_ns):
+            existing = None
+        if not self._admission.try_admit(part_id, size, existing is not None, now_ns):
             return False
         header = RecordHeader(
             object_id=object_id,
@@ -187,7 +192,7 @@
         return True
 
     def _append(self, header: RecordHeader, body: bytes) -> int:
-        """Append a record to the current segment, or to the next where it does not fit; return its offset."""
+        """Append a record to the current segment, or to a new one if it does not fit. Return its offset."""
         if not self.log.has_space(header.size):
             self.checkpoint()
             self.log.start_next_segment()
@@ -200,13 +205,13 @@
         return offset
 
     def remove(self, object_id: int, parts: list[int]) -> None:
-        """Remove parts of an object, durably when this returns."""
+        """Remove parts of an object. The removal is durable when this returns."""
         for part in parts:
             self.entries.remove(PartId(object_id, part))
         self.checkpoint()
 
     def checkpoint(self) -> None:
-        """Make everything written so far durable."""
+        """Make all data written so far durable."""
         self.log.sync()
         self._on_step(Step.SYNCED)
         self._commit()
@@ -225,36 +230,39 @@
     # Purges.
 
     def purge(self, object_id: int, group: int, purged_at_ms: int, event_number: int = 0) -> None:
-        """Purge an object, or a group where `object_id` is 0; durable when this returns.
+        """Purge an object, or a purge group if `object_id` is 0. The purge is durable when this returns.
 
         Args:
-            object_id: Number of the object; 0: the group is purged.
+            object_id: Id of the object, or 0 to purge the group.
             group: The purge group.
-            purged_at_ms: Versions issued by this Unix millisecond are purged.
-            event_number: Number of the discovery event that announced it; 0: none.
+            purged_at_ms: Unix time in milliseconds. Versions issued at or before it are purged.
+            event_number: Number of the discovery event that announced the purge, or 0 if there was none.
         """
         scope, number = (PurgeScope.OBJECT, object_id) if object_id else (PurgeScope.GROUP, group)
         self._on_step(Step.PURGING)
         self.purge_marks.add(PurgeMark(scope, number, purged_at_ms), event_number)
         self._on_step(Step.PURGED)
 
-    def purge_before(self, before_ms: int) -> None:
-        """Count all versions issued by a Unix millisecond as purged: purges may have been missed."""
-        self.purge_marks.purge_before(before_ms)
+    def purge_through(self, through_ms: int) -> None:
+        """Treat all versions issued at or before a Unix time in milliseconds as purged.
+
+        This is needed when purges may have been missed.
+        """
+        self.purge_marks.purge_through(through_ms)
 
     @property
     def last_event_number(self) -> int:
-        """Number of the last discovery event whose purge is durable."""
+        """Number of the last discovery event whose purge was stored, or 0 if there was none."""
         return self.index.metadata(MetadataKey.LAST_EVENT)
 
     # Contents.
 
     def stored_parts(self, object_id: int | None = None) -> Iterator[tuple[PartId, IndexEntry]]:
-        """Yield the committed entries of all objects or of one."""
+        """Yield the committed entries of one object, or of all objects if `object_id` is None."""
         return self.index.entries(object_id)
 
     def close(self) -> None:
-        """Make everything durable and close the files."""
+        """Make all data durable, then close the index and the segment files."""
         self.checkpoint()
         self.index.close()
         self.files.close()
--- a/marbleglade/disk/entry_store.py
+++ b/marbleglade/disk/entry_store.py
@@ -1,4 +1,4 @@
-"""Entries of a disk cache: those of the durable index and the changes not yet committed to it."""
+"""Entries of a disk cache: the durable index together with the changes not yet committed to it."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class EntryStore:
-    """The present entry of each part, whether it is committed or not.
+    """The current entry of each part, including uncommitted changes.
 
     Args:
         index: The durable index.
         eviction: The eviction policy, which is updated with each change.
 
     Attributes:
-        uncommitted: Entries that no commit holds yet.
-        uncommitted_removals: Parts whose removal no commit holds yet, in order.
+        uncommitted: New and changed entries that are not committed yet.
+        uncommitted_removals: Parts whose removal is not committed yet, in the order of removal.
     """
 
     def __init__(self, index: Index, eviction: EvictionPolicy) -> None:
@@ -28,7 +28,7 @@
         self.uncommitted_removals: dict[PartId, None] = {}
 
     def get(self, part_id: PartId) -> IndexEntry | None:
-        """Return the entry of a part; None if it is not cached."""
+        """Return the entry of a part, or None if the part is not cached."""
         if part_id in self.uncommitted_removals:
             return None
         return self.uncommitted.get(part_id) or self._index.get(part_id)
@@ -47,7 +47,7 @@
         self._eviction.remove(part_key(*part_id))
 
     def remove_older_versions(self, object_id: int, issued_ms: int) -> None:
-        """Remove the parts of an object whose version was issued before a Unix millisecond."""
+        """Remove the parts of an object whose version was issued before a Unix time in milliseconds."""
         older = {part_id for part_id, entry in self._index.entries(object_id) if entry.issued_ms < issued_ms}
         older |= {
             part_id
@@ -58,7 +58,7 @@
             self.remove(part_id)
 
     def commit(self, metadata: Mapping[MetadataKey, int]) -> None:
-        """Commit all changes to the index, with the metadata of a checkpoint."""
+        """Commit all changes to the index, together with the metadata of a checkpoint."""
         self._index.commit(put=self.uncommitted.items(), remove=self.uncommitted_removals, metadata=metadata)
         self.uncommitted.clear()
         self.uncommitted_removals.clear()
--- a/marbleglade/disk/entry_table.py
+++ b/marbleglade/disk/entry_table.py
@@ -1,4 +1,4 @@
-"""Table of the cached parts in memory: packed arrays, about 40 bytes an entry."""
+"""In-memory table of the cached parts, stored in packed arrays of about 40 bytes per entry."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 SLOT_BYTES = 24
 MASK_64 = (1 << 64) - 1
 MASK_32 = (1 << 32) - 1
-SLOTS_PROBED_PER_SAMPLE = 16
+SLOTS_PROBED_PER_SAMPLE = 16  # slots that `sample` probes at most, for each entry to return
 
 
 def part_key(object_id: int, part: int) -> int:
-    """Return the table's key of an object's part, never 0.
+    """Return the 64-bit table key of a part. It is never 0, which marks an empty slot.
 
-    Two parts may share a key; then the header of the record on disk says which part it is.
+    Two parts may have the same key. The header of the record on disk tells which part is stored.
     """
     mixed = (object_id ^ (part + 1) * 0x9E3779B97F4A7C15) & MASK_64
     mixed = (mixed ^ mixed >> 31) * 0xBF58476D1CE4E5B9 & MASK_64
@@ -24,7 +24,7 @@
 
 
 class TableEntry(NamedTuple):
-    """One entry of the table: three packed figures that the table does not interpret."""
+    """One entry of the table: three integers that the table stores without interpreting them."""
 
     location: int
     packed_size: int
@@ -32,7 +32,7 @@
 
 
 class EntryTable:
-    """A hash table with open addressing and linear probing, from a 64-bit key to a `TableEntry`."""
+    """A hash table from 64-bit keys to `TableEntry`, with open addressing and linear probing."""
 
     def __init__(self) -> None:
         self._allocate(INITIAL_SLOTS)
@@ -50,30 +50,30 @@
 
     @property
     def memory_bytes(self) -> int:
-        """Bytes of memory that the table's arrays take."""
+        """Memory that the table's arrays take, in bytes."""
         return (self._mask + 1) * SLOT_BYTES
 
-    def _slot(self, key: int) -> int:
+    def _find_slot(self, key: int) -> int:
         slot = key & self._mask
         while self._keys[slot] and self._keys[slot] != key:
             slot = slot + 1 & self._mask
         return slot
 
-    def _entry(self, slot: int) -> TableEntry:
+    def _entry_at(self, slot: int) -> TableEntry:
         return TableEntry(self._locations[slot], self._sizes[slot], self._last_uses[slot])
 
     def get(self, key: int) -> TableEntry | None:
-        """Return the entry of a key; None if there is none."""
-        slot = self._slot(key)
-        return self._entry(slot) if self._keys[slot] else None
+        """Return the entry of a key, or None if the key is not in the table."""
+        slot = self._find_slot(key)
+        return self._entry_at(slot) if self._keys[slot] else None
 
     def put(self, key: int, location: int, packed_size: int, last_use: int) -> None:
-        """Insert or replace an entry; `last_use` is stored modulo 2^32."""
-        slot = self._slot(key)
+        """Insert or replace an entry. `last_use` is stored modulo 2^32."""
+        slot = self._find_slot(key)
         if not self._keys[slot]:
             if (self._count + 1) * 4 > (self._mask + 1) * 3:
                 self._grow()
-                slot = self._slot(key)
+                slot = self._find_slot(key)
             self._count += 1
             self._keys[slot] = key
         self._locations[slot] = location
@@ -81,14 +81,14 @@
         self._last_uses[slot] = last_use & MASK_32
 
     def touch(self, key: int, last_use: int) -> None:
-        """Set the last use of an entry, if there is one."""
-        slot = self._slot(key)
+        """Set the last use of a key's entry. Do nothing if the key is not in the table."""
+        slot = self._find_slot(key)
         if self._keys[slot]:
             self._last_uses[slot] = last_use & MASK_32
 
     def remove(self, key: int) -> bool:
-        """Remove an entry; false if there was none."""
-        slot = self._slot(key)
+        """Remove the entry of a key. Return whether there was one."""
+        slot = self._find_slot(key)
         if not self._keys[slot]:
             return False
         self._count -= 1
@@ -96,14 +96,14 @@
         return True
 
     def _close_gap(self, gap: int) -> None:
-        """Free a slot and move back the entries behind it that were displaced by it."""
+        """Free a slot, and move back the entries after it that linear probing displaced past it."""
         slot = gap
         while True:
             slot = slot + 1 & self._mask
             if not self._keys[slot]:
                 break
-            preferred = self._keys[slot] & self._mask
-            if (slot - preferred & self._mask) >= (slot - gap & self._mask):
+            home_slot = self._keys[slot] & self._mask
+            if (slot - home_slot & self._mask) >= (slot - gap & self._mask):
                 for column in (self._keys, self._locations, self._sizes, self._last_uses):
                     column[gap] = column[slot]
                 gap = slot
@@ -118,15 +118,15 @@
     def __iter__(self) -> Iterator[tuple[int, TableEntry]]:
         for slot, key in enumerate(self._keys):
             if key:
-                yield key, self._entry(slot)
+                yield key, self._entry_at(slot)
 
     def sample(self, start: int, limit: int) -> list[tuple[int, TableEntry]]:
-        """Return up to `limit` keys with their entries, from a slot on that the caller draws by chance."""
+        """Return up to `limit` keys and their entries, scanned from slot `start` modulo the slots."""
         sampled: list[tuple[int, TableEntry]] = []
         slot = start & self._mask
         for _ in range(min(self._mask + 1, SLOTS_PROBED_PER_SAMPLE * limit)):
             if self._keys[slot]:
-                sampled.append((self._keys[slot], self._entry(slot)))
+                sampled.append((self._keys[slot], self._entry_at(slot)))
                 if len(sampled) == limit:
                     break
             slot = slot + 1 & self._mask
--- a/marbleglade/disk/eviction.py
+++ b/marbleglade/disk/eviction.py
@@ -1,8 +1,8 @@
-"""Eviction policy: which cached parts make space for a new one, if any. No I/O; its clock counts uses.
+"""Eviction policy: chooses the cached parts to evict for a new part. It does no I/O and uses no clock.
 
-The value of a part is its recent uses over the root of its bytes; early parts of an object count more than
-late ones, as clients wait longest for the first. A new part is admitted only if its value exceeds that of the
-parts it evicts; `admission.py` asks for these and removes them.
+Time is measured in uses. The value of a part is its number of recent uses divided by the square root of its
+size. Early parts of an object have a higher value than late ones, as clients wait longest for the first part.
+A new part is admitted only if its value exceeds that of the parts to evict. `admission` removes these parts.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 from .entry_table import MASK_32, EntryTable
 from .frequency_sketch import FrequencySketch
 
-# A packed size has the bytes in the lower 24 bits, and the number of the part in the bits above.
+# A packed size has the size of the body in its lower 24 bits and the number of the part in the bits above.
 SIZE_BITS = 24
 SIZE_MASK = (1 << SIZE_BITS) - 1
 MAX_PACKED_PART = 255
-OFFSET_BITS = 32  # lower bits of a packed location; the segment is in the bits above
+OFFSET_BITS = 32  # a packed location has the offset in these lower bits, the segment in the bits above
 
-EVICTION_SAMPLE = 48  # entries among which the least valuable is evicted
-FIRST_PART_BONUS = 0.5  # the first part is worth so much more; the bonus falls linearly to 0
-BONUS_PARTS = 20  # parts of an object that get a bonus
-# A part that was not used while the cache had so many uses for each of its entries is worth a quarter.
+EVICTION_SAMPLE = 48  # randomly sampled entries of which the least valuable is evicted
+FIRST_PART_BONUS = 0.5  # relative bonus of the first part's value; it falls linearly to 0 for later parts
+BONUS_PARTS = 20  # number of parts of an object that have a bonus
+# A part's value falls to a quarter after this many uses of other parts, times the number of cached entries.
 IDLE_USES_PER_ENTRY = 0.5
-MIN_ENTRIES_FOR_IDLE = 512  # a cache with fewer entries counts as having so many
-BASE_FREQUENCY = 0.2  # added to the recent uses, so that a part without any keeps some value
+MIN_ENTRIES_FOR_IDLE = 512  # lower bound of the number of entries when idle time is computed
+BASE_FREQUENCY = 0.2  # added to the recent uses, so that a part without recent uses keeps some value
 
 
 class RecordLocation(NamedTuple):
-    """Location of a part's record: number of the segment, byte offset in it, bytes of the body."""
+    """Location of a part's record: segment number, byte offset in the segment, size of the body in bytes."""
 
     segment: int
     offset: int
@@ -37,7 +37,7 @@
 
 
 class EvictionCandidate(NamedTuple):
-    """A cached part that may be evicted; candidates are ordered by their value."""
+    """A cached part that may be evicted. Candidates are ordered by their value."""
 
     value: float
     key: int
@@ -45,17 +45,17 @@
 
 
 class EvictionPolicy:
-    """Values of the cached parts, by their keys.
+    """Tracks the locations, sizes and uses of the cached parts by their keys, and chooses parts to evict.
 
     Args:
-        capacity_bytes: Bytes of live parts.
+        capacity_bytes: Maximum total size of the cached parts in bytes.
         seed: Seed of the random samples.
-        expected_parts: How many parts are expected, for the frequency sketch.
+        expected_parts: Expected number of parts, which sets the width of the frequency sketch.
 
     Attributes:
-        live_bytes: Bytes of the cached parts.
-        uses: Uses so far; the policy's clock.
-        segment_live_bytes: Bytes of the cached parts in each segment.
+        live_bytes: Total size of the cached parts in bytes.
+        uses: Number of uses so far, which serves as the policy's clock.
+        segment_live_bytes: Total size of the cached parts in each segment in bytes, by segment number.
     """
 
     def __init__(self, capacity_bytes: int, seed: int, expected_parts: int = 1 << 16) -> None:
@@ -75,15 +75,16 @@
     # Values.
 
     def record_use(self, key: int) -> int:
-        """Record that a request asked for a part, cached or not; return the estimate of its recent uses."""
+        """Record a request for a part, cached or not. Return the estimated number of its recent uses."""
         self.uses += 1
         self._table.touch(key, self.uses)
         return self._sketch.record_use(key)
 
     def value(self, key: int, size: int, last_use: int, part: int) -> float:
-        """Return the value of a part: its recent uses, reduced by idle time, over the root of its bytes.
+        """Return the value of a part: its recent uses, reduced by idle time, over the root of its size.
 
-        Divided by the bytes themselves, large objects were never admitted, though a use of them saves more.
+        When the value was divided by the size itself, large objects were never admitted, although each use
+        of them saves more.
         """
         entries = max(MIN_ENTRIES_FOR_IDLE, len(self._table))
         idle = (self.uses - last_use & MASK_32) / (IDLE_USES_PER_ENTRY * entries)
@@ -93,27 +94,28 @@
         return frequency * bonus / (root_of_size * (1 + idle) ** 2)
 
     def choose_victims(self, key: int, size: int, part: int) -> list[int] | None:
-        """Return the keys to evict for a new part; None if it is not to be admitted."""
+        """Return the keys of the parts to evict for a new part, or None if it must not be admitted."""
         if size > self._capacity_bytes:
             return None
         missing_bytes = self.live_bytes + size - self._capacity_bytes
         victims: list[int] = []
         new_value = self.value(key, size, self.uses, part)
-        # Values times the root of the bytes: all victims together must have less of it than the new part.
+        # Values are compared after multiplication by the square root of the size. The sum over all victims
+        # must not exceed the result for the new part.
         lost_value = 0.0
         while missing_bytes > 0:
-            least = self._least_valuable({key, *victims})
-            if least is None:
+            least_valuable = self._least_valuable({key, *victims})
+            if least_valuable is None:
                 return None
-            lost_value += least.value * least.size**0.5
+            lost_value += least_valuable.value * least_valuable.size**0.5
             if lost_value > new_value * size**0.5:
                 return None
-            victims.append(least.key)
-            missing_bytes -= least.size
+            victims.append(least_valuable.key)
+            missing_bytes -= least_valuable.size
         return victims
 
     def _least_valuable(self, excluded: set[int]) -> EvictionCandidate | None:
-        """Return the least valuable part in a random sample; None if the sample has none."""
+        """Return the least valuable part of a random sample, or None if there is no eligible one."""
         candidates = []
         for key, (_, packed_size, last_use) in self._table.sample(self._draw(), EVICTION_SAMPLE):
             if key in excluded:
@@ -126,7 +128,7 @@
     # Cached parts.
 
     def add(self, key: int, location: RecordLocation, part: int) -> None:
-        """Add a cached part, or replace its location; `part` is its number in its object."""
+        """Add a cached part, or replace its location. `part` is the number of the part in its object."""
         self.remove(key)
         segment, offset, size = location
         packed_size = size | min(part, MAX_PACKED_PART) << SIZE_BITS
@@ -135,7 +137,7 @@
         self.segment_live_bytes[segment] = self.segment_live_bytes.get(segment, 0) + size
 
     def remove(self, key: int) -> bool:
-        """Remove a part; false if it was not cached."""
+        """Remove a part. Return whether it was cached."""
         location = self.locate(key)
         if location is None:
             return False
@@ -145,7 +147,7 @@
         return True
 
     def locate(self, key: int) -> RecordLocation | None:
-        """Return where the record of a cached part is; None if it is not cached."""
+        """Return the location of a part's record, or None if the part is not cached."""
         entry = self._table.get(key)
         if entry is None:
             return None
--- a/marbleglade/disk/files.py
+++ b/marbleglade/disk/files.py
@@ -1,6 +1,6 @@
-"""Segment files of a disk cache and the lock of its directory.
+"""Segment files of a disk cache, and the lock of its directory.
 
-Everything that may fail raises OSError; nothing is cached here.
+Every failing operation raises OSError. File contents are not cached in this process.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 
 class DirectoryInUseError(OSError):
-    """Raised when another process has the cache's directory open."""
+    """Raised when another process has locked the directory of the cache."""
 
 
 class SegmentFiles:
     """The numbered segment files in the directory of one cache, locked against other processes.
 
     Args:
-        directory: Directory of the cache; created if it is missing.
+        directory: Path of the cache's directory, which is created if it is missing.
 
     Raises:
-        DirectoryInUseError: Another process has it open.
-        OSError: It can't be created or locked.
+        DirectoryInUseError: Another process has locked the directory.
+        OSError: The directory or its lock file can't be created or opened.
     """
 
     def __init__(self, directory: str) -> None:
@@ -36,7 +36,7 @@
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             os.close(self._lock)
-            raise DirectoryInUseError(f"{directory} is used by another process") from error
+            raise DirectoryInUseError(f"cache directory {directory} is used by another process") from error
         self._descriptors: dict[int, int] = {}
 
     def _path(self, number: int) -> Path:
@@ -48,7 +48,7 @@
         return self._descriptors[number]
 
     def lengths(self) -> dict[int, int]:
-        """Return the length in bytes of each segment, by its number."""
+        """Return the length of each segment in bytes, by segment number."""
         return {
             int(path.name[:SEGMENT_NAME_DIGITS]): path.stat().st_size
             for path in self._segments.glob("*.seg")
@@ -56,23 +56,23 @@
         }
 
     def write(self, number: int, offset: int, data: bytes) -> None:
-        """Write all of `data` to a segment, which is created if it is missing."""
+        """Write all of `data` to a segment. The segment is created if it is missing."""
         descriptor = self._descriptor(number)
         written = 0
         while written < len(data):
             written += os.pwrite(descriptor, data[written:], offset + written)
 
     def sync(self, number: int) -> None:
-        """Make a segment's contents and its directory entry durable."""
+        """Make the contents and the directory entry of a segment durable."""
         os.fsync(self._descriptor(number))
-        folder = os.open(self._segments, os.O_RDONLY)
+        directory_descriptor = os.open(self._segments, os.O_RDONLY)
         try:
-            os.fsync(folder)
+            os.fsync(directory_descriptor)
         finally:
-            os.close(folder)
+            os.close(directory_descriptor)
 
     def read(self, number: int, offset: int, size: int) -> bytes:
-        """Read `size` bytes of a segment; fewer where it ends before."""
+        """Read `size` bytes of a segment, or fewer if the segment ends before."""
         chunks = []
         while size > 0 and (data := os.pread(self._descriptor(number), size, offset)):
             chunks.append(data)
@@ -81,7 +81,7 @@
         return b"".join(chunks)
 
     def remove(self, number: int) -> None:
-        """Remove a segment; one that is missing is no error."""
+        """Remove a segment. A missing segment is not an error."""
         descriptor = self._descriptors.pop(number, None)
         if descriptor is not None:
             os.close(descriptor)
--- a/marbleglade/disk/index.py
+++ b/marbleglade/disk/index.py
@@ -1,6 +1,6 @@
 """Durable index of a disk cache in LMDB: entries, purge marks, and metadata such as the checkpoint.
 
-Each `commit` is atomic and synced. An index of a newer format is refused.
+Each `commit` is atomic and synced. Opening an index of a newer format fails.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 import lmdb
 
 FORMAT_VERSION = 1
-ENTRY = struct.Struct("<IIIHQQ")  # the fields of `IndexEntry`
-KEY = struct.Struct(">QI")  # the fields of `PartId`
-PURGE_TIME = struct.Struct("<Q")  # Unix milliseconds
+ENTRY = struct.Struct("<IIIHQQ")  # the fields of `IndexEntry` in their order
+KEY = struct.Struct(">QI")  # the fields of `PartId`, big-endian so that keys are sorted by object and part
+PURGE_TIME = struct.Struct("<Q")  # Unix time in milliseconds
 MAX_INDEX_BYTES = 1 << 32
 
-# Names as they are stored.
+# Names of the LMDB databases, as they are stored.
 ENTRIES_DATABASE = b"entries"
 PURGES_DATABASE = b"marks"
 METADATA_DATABASE = b"facts"
 
 
 class MetadataKey(enum.StrEnum):
-    """Names of the stored numbers."""
+    """Stored names of the numbers in the metadata database."""
 
     FORMAT_VERSION = "form"
-    PURGED_BEFORE_MS = "before"
+    PURGED_THROUGH_MS = "before"
     SERIAL = "serial"
     CHECKPOINT_SEGMENT = "segment"
     CHECKPOINT_OFFSET = "place"
@@ -36,29 +36,29 @@
 
 
 class PurgeScope(enum.Enum):
-    """What a purge names; the value is the first byte of its stored key."""
+    """What a purge applies to. The value is the first byte of the stored key."""
 
     OBJECT = b"o"
     GROUP = b"g"
 
 
 class PartId(NamedTuple):
-    """One part of an object."""
+    """Id of one part of an object: the id of the object and the number of the part in it."""
 
     object_id: int
     part: int
 
 
 class IndexEntry(NamedTuple):
-    """Location and version of a cached part, in the order in which they are stored.
+    """Location and version of a cached part. The fields are stored in this order.
 
     Attributes:
         segment: Number of the segment.
         offset: Byte offset of the record in the segment.
-        size: Bytes of the body.
+        size: Size of the body in bytes.
         group: Purge group of the object.
         tag: Version tag of the object.
-        issued_ms: Unix millisecond at which this version was issued.
+        issued_ms: Unix time in milliseconds at which this version was issued.
     """
 
     segment: int
@@ -70,7 +70,13 @@
 
 
 class PurgeMark(NamedTuple):
-    """A purge of an object or a group: versions issued by that Unix millisecond are not returned."""
+    """A purge of an object or a group.
+
+    Attributes:
+        scope: Whether an object or a group is purged.
+        number: Id of the object, or number of the group.
+        purged_at_ms: Unix time in milliseconds. Versions issued at or before it are not returned.
+    """
 
     scope: PurgeScope
     number: int
@@ -78,19 +84,19 @@
 
 
 class NewerFormatError(OSError):
-    """Raised for an index that a later version of the program wrote."""
+    """Raised for an index that was written by a later version of this program."""
 
 
 class Index:
     """The durable index in the directory of a disk cache.
 
     Args:
-        directory: Directory of the cache.
-        max_bytes: Bound of the index's file.
+        directory: Path of the cache's directory.
+        max_bytes: Maximum size of the index file in bytes.
 
     Raises:
-        NewerFormatError: A later version of the program wrote it.
-        lmdb.Error: It can't be opened.
+        NewerFormatError: The index was written by a later version of this program.
+        lmdb.Error: The index can't be opened.
     """
 
     def __init__(self, directory: str, max_bytes: int = MAX_INDEX_BYTES) -> None:
@@ -102,19 +108,19 @@
         if version > FORMAT_VERSION:
             self._env.close()
             raise NewerFormatError(
-                f"{directory} has format {version}, and this program knows {FORMAT_VERSION}"
+                f"index in {directory} has format {version}; this program supports up to {FORMAT_VERSION}"
             )
         if not version:
             self.commit(metadata={MetadataKey.FORMAT_VERSION: FORMAT_VERSION})
 
     def metadata(self, key: MetadataKey) -> int:
-        """Return a stored number; 0 if it was never stored."""
+        """Return a number of the metadata, or 0 if it was never stored."""
         with self._env.begin(db=self._metadata) as transaction:
             value = transaction.get(key.value.encode())
             return int.from_bytes(value, "little") if value else 0
 
     def get(self, part_id: PartId) -> IndexEntry | None:
-        """Return the entry of a part; None if there is none."""
+        """Return the entry of a part, or None if there is none."""
         with self._env.begin(db=self._entries) as transaction:
             value = transaction.get(KEY.pack(*part_id))
             return IndexEntry(*ENTRY.unpack(value)) if value else None
@@ -122,7 +128,7 @@
     def entries(
         self, object_id: int | None = None, after: PartId | None = None
     ) -> Iterator[tuple[PartId, IndexEntry]]:
-        """Yield entries in the order of their keys: all, those of one object, or those after a part."""
+        """Yield entries in key order: all of them, those of one object, or those after a given part."""
         start = KEY.pack(*after) + b"\0" if after else KEY.pack(object_id or 0, 0)
         with self._env.begin(db=self._entries) as transaction, transaction.cursor() as cursor:
             if not cursor.set_range(start):
@@ -147,7 +153,7 @@
         purge_marks: Iterable[PurgeMark] = (),
         metadata: Mapping[MetadataKey, int] | None = None,
     ) -> None:
-        """Store all of these changes or none of them; they are synced when this returns."""
+        """Store all of these changes or none of them. They are durable when this returns."""
         with self._env.begin(write=True) as transaction:
             for part_id in remove:
                 transaction.delete(KEY.pack(*part_id), db=self._entries)
--- a/marbleglade/disk/records.py
+++ b/marbleglade/disk/records.py
@@ -1,23 +1,23 @@
 """Codec of the records in a segment, without I/O.
 
-A record is a header of 64 bytes, the body, and zeros up to the next multiple of 8 bytes. Numbers are
-little-endian:
+A record consists of a header of 64 bytes, the body, and zeros up to the next multiple of 8 bytes. Numbers in
+the header are little-endian:
 
     offset  bytes  field
          0      4  magic, "mgdt"
          4      1  format version
-         5      1  kind of record; 1: a part of an object
+         5      1  record kind, 1 for a part of an object
          6      2  purge group
-         8      8  object
-        16      4  part
-        20      4  bytes of the body
+         8      8  object id
+        16      4  number of the part in the object
+        20      4  size of the body in bytes
         24      8  version tag
-        32      8  time of issue, Unix milliseconds
+        32      8  issue time of the version, Unix time in milliseconds
         40      8  XXH3 checksum of the body
-        48      8  serial number
-        56      8  XXH3 checksum of the 56 bytes before
+        48      8  serial number of the record
+        56      8  XXH3 checksum of the preceding 56 bytes
 
-Reading a segment ends at the first record that fails a checksum.
+A scan of a segment ends at the first invalid record.
 """
 
 from __future__ import annotations
@@ -40,17 +40,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordHeader:
-    """Header of the record of one part of an object.
+    """Header of the record of a part.
 
     Attributes:
-        object_id: Number of the object.
+        object_id: Id of the object.
         part: Number of the part in its object.
         group: Purge group of the object.
         tag: Version tag of the object.
-        issued_ms: Unix millisecond at which this version was issued.
-        size: Bytes of the body.
+        issued_ms: Unix time in milliseconds at which this version was issued.
+        size: Size of the body in bytes.
         checksum: XXH3 checksum of the body.
-        serial: Number of the record in its cache.
+        serial: Serial number of the record, increasing in the order in which a cache writes its records.
     """
 
     object_id: int
@@ -64,7 +64,7 @@
 
 
 def record_length(body_size: int) -> int:
-    """Return the bytes of a complete record whose body has `body_size` bytes."""
+    """Return the length in bytes of a record whose body has `body_size` bytes."""
     return HEADER.size + (body_size + ALIGNMENT_BYTES - 1) // ALIGNMENT_BYTES * ALIGNMENT_BYTES
 
 
@@ -75,7 +75,7 @@
 
 
 def encode_record(header: RecordHeader, body: bytes) -> bytes:
-    """Encode a header and its body as a padded record."""
+    """Encode a header and a body as a record, including the padding."""
     data = HEADER.pack(
         MAGIC,
         FORMAT_VERSION,
@@ -97,7 +97,7 @@
 
 
 def decode_header(data: bytes | memoryview) -> RecordHeader | None:
-    """Decode the header at the start of `data`; None if there is no valid one."""
+    """Decode the header at the start of `data`. Return None if there is no valid header."""
     if len(data) < HEADER.size:
         return None
     magic, version, kind, *fields, header_checksum = HEADER.unpack_from(data)
@@ -110,13 +110,13 @@
 
 
 def decode_body(header: RecordHeader, record: bytes) -> bytes | None:
-    """Return the body of a record; None if it is truncated or fails its checksum."""
+    """Return the body of a record, or None if it is truncated or fails its checksum."""
     body = record[HEADER.size : HEADER.size + header.size]
     return body if len(body) == header.size and checksum_of(body) == header.checksum else None
 
 
 def scan_records(data: bytes, start: int = 0) -> Iterator[tuple[int, RecordHeader]]:
-    """Yield the offset and header of each record from `start` on, up to the first invalid one."""
+    """Yield the offset and the header of each record from `start` on, up to the first invalid record."""
     offset = start
     while header := decode_header(data[offset : offset + HEADER.size]):
         record = data[offset : offset + record_length(header.size)]
--- a/marbleglade/disk/segment_log.py
+++ b/marbleglade/disk/segment_log.py
@@ -1,4 +1,4 @@
-"""The log of records in a disk cache's segments: one is appended to, the others are only read."""
+"""The log of records in a disk cache's segments. Only the current segment is appended to."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class SegmentLog:
-    """The segments of one cache.
+    """The log of records in the segments of one disk cache.
 
     Args:
         files: The segment files.
-        segment_size: Bytes that a segment may have.
+        segment_size: Maximum length of a segment in bytes.
 
     Attributes:
-        lengths: Bytes of each segment, by its number; what is behind them is ignored.
-        current: Number of the segment that is appended to.
-        end: Bytes of the current segment.
-        serial: Serial number of the last record; set from the checkpoint before `replay`.
+        lengths: Valid bytes of each segment, by segment number. Any data after them is ignored.
+        current: Number of the segment to which records are appended.
+        end: Length of the current segment in bytes.
+        serial: Serial number of the last record. It must be set from the checkpoint before `replay`.
     """
 
     def __init__(self, files: SegmentFiles, segment_size: int) -> None:
@@ -40,15 +40,15 @@
         self.serial = 0
 
     def replay(self, segment: int, offset: int, on_record: Callable[[int, int, RecordHeader], None]) -> int:
-        """Read what was appended after a checkpoint, up to the first invalid record of each segment.
+        """Read the records appended after a checkpoint, up to the first invalid record of each segment.
 
         Args:
-            segment: The segment of the checkpoint.
-            offset: The offset of the checkpoint in it.
-            on_record: Called with segment, offset and header of each valid record.
+            segment: Number of the segment that was current at the checkpoint.
+            offset: Length of that segment at the checkpoint, in bytes.
+            on_record: Callback that is called with the segment, offset and header of each valid record.
 
         Returns:
-            The number of segments with a torn tail.
+            The number of segments that end in an invalid or incomplete record.
         """
         torn_tails = 0
         self.lengths = self.files.lengths()
@@ -71,11 +71,11 @@
         return torn_tails
 
     def has_space(self, body_size: int) -> bool:
-        """True if a record with such a body still fits the current segment."""
+        """Return whether a record with a body of this size fits into the current segment."""
         return self.end + record_length(body_size) <= self.segment_size
 
     def append(self, header: RecordHeader, body: bytes) -> int:
-        """Write a record to the current segment, not yet synced, and return its offset."""
+        """Append a record to the current segment without syncing it. Return its offset."""
         offset = self.end
         self.files.write(self.current, offset, encode_record(header, body))
         self.serial = header.serial
@@ -84,7 +84,7 @@
         return offset
 
     def start_next_segment(self) -> None:
-        """Append to a new segment from now on."""
+        """Start a new segment and make it the current one."""
         self.current, self.end = max([*self.lengths, self.current]) + 1, 0
         self.lengths[self.current] = 0
 
@@ -93,7 +93,7 @@
         self.files.sync(self.current)
 
     def read_body(self, part_id: PartId, entry: IndexEntry) -> bytes | None:
-        """Read a part's body; None if its record is corrupt or is not the one of the entry."""
+        """Read the body of a part. Return None if its record is corrupt or does not match the entry."""
         record = self.files.read(entry.segment, entry.offset, HEADER.size + entry.size)
         header = decode_header(record)
         if header is None:
@@ -104,16 +104,16 @@
         return decode_body(header, record)
 
     def read_segment(self, number: int) -> bytes:
-        """Read all records of a segment."""
+        """Read the valid data of a segment, which is all its records."""
         return self.files.read(number, 0, self.lengths[number])
 
     def remove_segment(self, number: int) -> None:
-        """Remove a segment that no entry refers to."""
+        """Remove a segment. No entry may refer to it."""
         self.files.remove(number)
         del self.lengths[number]
 
     def remove_empty_segments(self) -> None:
-        """Remove all segments without records, apart from the current one."""
+        """Remove all segments without records except the current one."""
         for number, length in list(self.lengths.items()):
             if not length and number != self.current:
                 self.remove_segment(number)
--- a/marbleglade/disk/steps.py
+++ b/marbleglade/disk/steps.py
@@ -1,4 +1,4 @@
-"""Steps of a disk cache's writes, at which tests stop it to see what a crash leaves."""
+"""Steps of a disk cache's writes. Tests simulate a crash at each of them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Step(enum.StrEnum):
-    """A moment just before or just after a write."""
+    """A point directly before or after a write."""
 
     APPENDING = "appending"
     APPENDED = "appended"
@@ -22,4 +22,4 @@
 
 
 def ignore_step(step: Step) -> None:
-    """Do nothing: the listener outside of tests."""
+    """Do nothing. This is the default callback for steps."""
--- a/marbleglade/disk/write_budget.py
+++ b/marbleglade/disk/write_budget.py
@@ -1,4 +1,4 @@
-"""Budget of the bytes written to the disk: a token bucket for new parts, a ratio for rewritten ones."""
+"""Budget of the bytes written to the disk: a token bucket for new parts, a ratio for rewritten parts."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
     """Limits the write rate and the write amplification of a disk cache.
 
     Args:
-        bytes_per_s: Rate at which new parts may be written.
-        burst_s: Seconds of that rate that may be saved up.
-        max_amplification: Bound of all bytes written (new and rewritten) over the new ones.
+        bytes_per_s: Rate at which new parts may be written, in bytes per second.
+        burst_s: Size of the token bucket, in seconds at that rate.
+        max_amplification: Maximum ratio of all bytes written (new and rewritten) to the new bytes.
     """
 
     def __init__(self, bytes_per_s: float, burst_s: float, max_amplification: float) -> None:
@@ -24,7 +24,7 @@
         self._rewritten_bytes = 0
 
     def try_write(self, size: int, now_ns: int) -> bool:
-        """Take the budget for a new part of `size` bytes; false if it does not suffice."""
+        """Take `size` bytes for a new part from the budget. Return false if it does not suffice."""
         elapsed_ns = max(0, now_ns - self._refilled_at_ns)
         refilled = self._available_bytes + self._bytes_per_s * elapsed_ns / SECOND_NS
         self._available_bytes = min(self._burst_bytes, refilled)
@@ -36,7 +36,7 @@
         return True
 
     def try_rewrite(self, size: int) -> bool:
-        """Take the budget to rewrite `size` live bytes of a segment; false if they have to be dropped."""
+        """Take `size` bytes from the rewrite budget. Return false if it does not suffice."""
         written = self._new_bytes + self._rewritten_bytes + size
         if written > self._max_amplification * max(1, self._new_bytes):
             return False
@@ -45,5 +45,5 @@
 
     @property
     def amplification(self) -> float:
-        """All bytes written over the new ones."""
+        """Ratio of all bytes written (new and rewritten) to the new bytes."""
         return (self._new_bytes + self._rewritten_bytes) / max(1, self._new_bytes)
--- a/tests/disk/test_disk_cache.py
+++ b/tests/disk/test_disk_cache.py
@@ -51,7 +51,7 @@
     assert (cache.get(3, 0) is None) == purged
     assert cache.last_event_number in (41, 42)
     assert not put(cache, 3, 0, 1, 100)  # nor is a late response cached
-    cache.purge_before(100)
+    cache.purge_through(100)
     assert cache.get(3, 0) is None
 
 
--- a/tests/disk/test_stored_data.py
+++ b/tests/disk/test_stored_data.py
@@ -68,7 +68,7 @@
     put(5, 1, 2, 205, 2, 777)  # another version: the other two parts of object 5 are dropped
     cache.purge(4, 0, 104, 41)
     cache.purge(0, 0, 90, 42)
-    cache.purge_before(50)
+    cache.purge_through(50)
     cache.remove(1, [2])
     cache.checkpoint()
     put(6, 0, 1, 300, 0, 500)  # from here on only the segment knows
@@ -105,7 +105,7 @@
         PurgeMark(PurgeScope.OBJECT, 4, 104),
     }
     assert (stored.purge_marks.objects, stored.purge_marks.groups) == ({4: 104}, {0: 90})
-    assert stored.purge_marks.purged_before_ms == 50
+    assert stored.purge_marks.purged_through_ms == 50
     assert stored.last_event_number == 42
     for object_id, group, issued_ms, accepted in [
         (4, 1, 104, False),
@@ -123,7 +123,7 @@
 
 def test_the_stored_checkpoint_is_read(stored):
     assert stored.index.metadata(MetadataKey.FORMAT_VERSION) == 1
-    assert stored.index.metadata(MetadataKey.PURGED_BEFORE_MS) == 50
+    assert stored.index.metadata(MetadataKey.PURGED_THROUGH_MS) == 50
     assert stored.index.metadata(MetadataKey.SERIAL) == 19
     assert stored.index.metadata(MetadataKey.LAST_EVENT) == 42
     assert len(list(stored.index.entries())) == len(STORED_PARTS) + 3  # the purged parts are still indexed
