--- a/marbleglade/cli/control.py
+++ b/marbleglade/cli/control.py
@@ -22,7 +22,7 @@
 
 @click.group()
 def control() -> None:
-    """Control nodes: distribution of purges and configuration to fronts, with confirmation."""
+    """Control nodes: distribute purges and configuration to fronts, which confirm them."""
 
 
 control.add_command(propose)
@@ -31,46 +31,46 @@
 @control.command()
 @click.argument("file", type=FILE_PATH)
 def check(file: str) -> None:
-    """Name all faults of FILE, a control plane; print what is in force where there is none."""
+    """Check FILE, the description of a control plane. Print its settings, or all errors if there are any."""
     settings = read_settings(file)
     for region in settings.regions:
         click.echo(
-            f"region {region.name}: discovery {_address(region.discovery)}, {len(region.fronts)} fronts"
+            f"region {region.name}: discovery {_address_text(region.discovery)}, {len(region.fronts)} fronts"
         )
     for node in settings.nodes:
         click.echo(
             f"node {node.name}: region {node.region}, zone {node.zone}, "
-            f"{_address(node.address)}, quorum {_address(node.quorum_address)}"
+            f"{_address_text(node.address)}, quorum {_address_text(node.quorum_address)}"
         )
     click.echo(
         f"deployment {settings.deployment}: a purge within {settings.purge_deadline_ns / SECOND_NS:g} s, "
         f"a configuration within {settings.configuration_deadline_ns / SECOND_NS:g} s, "
         f"{settings.catch_up_bytes_per_s} bytes a second to a front that catches up"
     )
-    click.echo(f"load views: {_load_views(settings)}")
+    click.echo(f"load views: {_describe_load_view_source(settings)}")
 
 
-def _load_views(settings: ControlSettings) -> str:
-    """Describe which processes aggregate load views, and how often."""
+def _describe_load_view_source(settings: ControlSettings) -> str:
+    """Describe which processes aggregate the load views and, for control nodes, how often."""
     if not settings.view_period_ns:
         return "made by fronts among themselves"
     return f"made by the nodes every {settings.view_period_ns / SECOND_NS:g} s"
 
 
-def _address(address: tuple[str, int]) -> str:
+def _address_text(address: tuple[str, int]) -> str:
     host, port = address
     return f"{host}:{port}"
 
 
 @control.command()
 @click.argument("file", type=FILE_PATH)
-@click.option("--name", required=True, help="Which node of FILE this is.")
-@click.option("--store", type=click.Path(file_okay=False), help="Directory of the node's durable state.")
+@click.option("--name", required=True, help="Name of the node in FILE to run.")
+@click.option("--store", type=click.Path(file_okay=False), help="Directory for the node's durable state.")
 def run(file: str, name: str, store: str | None) -> None:
     """Run one control node of FILE until SIGTERM.
 
-    It follows the discovery service of its region and serves fronts. It receives what it distributes again at
-    each start; --store is for configuration versions.
+    The node follows the discovery service of its region and serves fronts. At each start it receives again
+    the events that it distributes, so only configuration versions are stored, in --store.
     """
     settings = read_settings(file)
     from ..control.node import control_node
@@ -83,23 +83,24 @@
             configuration = open_quorum_node(settings, name, store)
         control_node.run(settings, name, configuration)
     except (OSError, ValueError) as error:
-        exit_invalid([f"node {name}: {error}"])
+        exit_invalid([f"control node {name}: {error}"])
 
 
 @control.command()
 @click.argument("file", type=FILE_PATH)
-@click.option("--json", "as_json_object", is_flag=True, help="One JSON object.")
+@click.option("--json", "as_json_object", is_flag=True, help="Print one JSON object.")
 @click.option(
     "--timeout",
     type=click.FloatRange(0.05, 60.0),
     default=STATUS_TIMEOUT_S,
     show_default=True,
-    help="Seconds that a node may take to answer.",
+    help="Seconds to wait for the answer of each node.",
 )
 def status(file: str, as_json_object: bool, timeout: float) -> None:
-    """Ask all nodes of FILE which purges and which configuration are done everywhere, and who lacks them.
+    """Query all nodes of FILE for purges and the configuration, and print which fronts lack them.
 
-    The exit code is 1 if a node does not answer, or if something is lacking beyond its deadline.
+    The exit code is 1 if a node does not answer, if a front rejected the configuration, or if a front lacks a
+    purge or the configuration after its deadline.
     """
     settings = read_settings(file)
     from ..control.status.merge import merge
--- a/marbleglade/cli/control_propose.py
+++ b/marbleglade/cli/control_propose.py
@@ -1,4 +1,4 @@
-"""`marbleglade control propose`: a new configuration version, proposed to the control nodes."""
+"""`marbleglade control propose`: proposes a new configuration version to the control nodes."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from .invalid_input import exit_invalid
 
 FILE_PATH = click.Path(dir_okay=False)
-MAX_DOCUMENT_BYTES = 1 << 20  # read of a document file; more than any valid document
-# Exit codes, see docs/commands.md.
+MAX_DOCUMENT_BYTES = 1 << 20  # bytes read of a document file; any valid document is smaller
+# Exit codes, listed in docs/commands.md.
 EXIT_CONFLICT = 4
 EXIT_NOT_ACCEPTED = 5
 EXIT_UNKNOWN = 6
@@ -28,13 +28,13 @@
     type=click.FloatRange(0.1, 30.0),
     default=PROPOSE_TIMEOUT_S,
     show_default=True,
-    help="Seconds until the verdict has to be known.",
+    help="Seconds to wait for the outcome.",
 )
 def propose(file: str, document: str, timeout: float) -> None:
     """Propose DOCUMENT as the next configuration version to the control nodes of FILE.
 
-    Exit codes: 0 accepted; 2 refused, every fault on a line; 4 another version was accepted first; 5 not
-    accepted, as no majority of the nodes answers; 6 not known: it may be accepted or not.
+    Exit codes: 0 accepted; 2 the document is invalid, each error is printed on a line; 4 another version was
+    accepted first; 5 not accepted, as no majority of the nodes answered; 6 unknown whether it was accepted.
     """
     settings = read_settings(file)
     from ..control.configuration import proposer
@@ -48,14 +48,17 @@
             exit_invalid(f"{document}: {error}" for error in errors)
         case ProposalConflict(version):
             _exit_with(
-                EXIT_CONFLICT, f"not accepted: version {version} is in force; propose a change of that one"
+                EXIT_CONFLICT,
+                f"not accepted: version {version} is in force; propose a change to that version",
             )
         case proposer.NotAccepted(reasons):
             for node, reason in reasons.items():
                 click.echo(f"marbleglade: {node}: {reason}", err=True)
-            _exit_with(EXIT_NOT_ACCEPTED, "not accepted: no majority of the control nodes took it")
+            _exit_with(
+                EXIT_NOT_ACCEPTED, "not accepted: no majority of the control nodes accepted the proposal"
+            )
         case proposer.OutcomeUnknown(reason):
-            _exit_with(EXIT_UNKNOWN, f"not known whether it is accepted: {reason}")
+            _exit_with(EXIT_UNKNOWN, f"not known whether the proposal was accepted: {reason}")
 
 
 def _read_document(path: str) -> str:
--- a/marbleglade/cli/control_settings_file.py
+++ b/marbleglade/cli/control_settings_file.py
@@ -1,4 +1,4 @@
-"""The file argument that all `marbleglade control` commands share."""
+"""Reads the FILE argument of the `marbleglade control` commands."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def read_settings(file: str) -> ControlSettings:
-    """Read the control plane that FILE describes; an invalid file ends the command with exit code 2."""
+    """Read the control plane settings in FILE. An invalid file ends the command with exit code 2."""
     from ..control.settings import InvalidSettingsError, read
 
     try:
--- a/marbleglade/cli/control_status.py
+++ b/marbleglade/cli/control_status.py
@@ -1,4 +1,4 @@
-"""Formats the status of a deployment for `marbleglade control status`, as JSON and as text."""
+"""Formats the status of a deployment as JSON or text for `marbleglade control status`."""
 
 from __future__ import annotations
 
@@ -16,16 +16,19 @@
 )
 from ..runtime.units import MILLISECOND_NS
 
-MAX_LISTED_PURGES = 20  # in text; JSON has all
+MAX_LISTED_PURGES = 20  # incomplete purges listed as text; JSON has all purges
 
 
 def is_healthy(status: DeploymentStatus, settings: ControlSettings, now_ms: int) -> bool:
-    """Return True if every node answered and nothing is missing at any front beyond its deadline."""
+    """Return whether all nodes answered and the fronts have all purges and the configuration.
+
+    A front may lack a purge or the configuration until its deadline. A rejected configuration is unhealthy.
+    """
     return not (
         status.unreachable_nodes
         or _overdue_purges(status, settings, now_ms)
         or status.configuration.rejections
-        or _configuration_overdue(status, settings, now_ms)
+        or _is_configuration_overdue(status, settings, now_ms)
     )
 
 
@@ -38,7 +41,7 @@
     ]
 
 
-def _configuration_overdue(status: DeploymentStatus, settings: ControlSettings, now_ms: int) -> bool:
+def _is_configuration_overdue(status: DeploymentStatus, settings: ControlSettings, now_ms: int) -> bool:
     configuration = status.configuration
     deadline_ms = settings.configuration_deadline_ns // MILLISECOND_NS
     return bool(configuration.missing_fronts.count) and now_ms - configuration.received_unix_ms > deadline_ms
@@ -115,13 +118,13 @@
     return {"front": rejection.front, "version": rejection.version, "reason": rejection.reason}
 
 
-def _percentile_ms(status: DeploymentStatus, share: float) -> float | None:
-    nanoseconds = status.latency.percentile(share)
+def _percentile_ms(status: DeploymentStatus, fraction: float) -> float | None:
+    nanoseconds = status.latency.percentile(fraction)
     return None if nanoseconds is None else round(nanoseconds / MILLISECOND_NS, 1)
 
 
 def as_text(status: DeploymentStatus) -> Iterator[str]:
-    """Yield the status as lines of text: nodes, fronts, purges, configuration."""
+    """Yield the lines of the status as text: nodes, fronts, purges, configuration."""
     yield f"deployment {status.deployment}"
     yield from map(_node_line, status.answers)
     yield (
@@ -178,7 +181,7 @@
     configuration = status.configuration
     if not configuration.version:
         return "configuration: none"
-    head = f"configuration: version {configuration.version}"
+    prefix = f"configuration: version {configuration.version}"
     if not configuration.missing_fronts.count:
-        return f"{head} in force everywhere after {configuration.duration_ms} ms"
-    return f"{head} NOT IN FORCE" + _format_fronts(", lacking", configuration.missing_fronts)
+        return f"{prefix} in force everywhere after {configuration.duration_ms} ms"
+    return f"{prefix} NOT IN FORCE" + _format_fronts(", lacking", configuration.missing_fronts)
--- a/marbleglade/cli/deployment_commands.py
+++ b/marbleglade/cli/deployment_commands.py
@@ -1,4 +1,4 @@
-"""`marbleglade check` and `marbleglade route`: the errors and the routes of a deployment."""
+"""`marbleglade check` and `marbleglade route`: print the errors and the routes of a deployment file."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 @click.command()
 @click.argument("deployment", type=DEPLOYMENT_PATH)
-@click.option("--quiet", is_flag=True, help="Print nothing if all is valid.")
+@click.option("--quiet", is_flag=True, help="Print nothing if the file is valid.")
 def check(deployment: str, quiet: bool) -> None:
-    """Check DEPLOYMENT completely and print what is in force, defaults filled in.
+    """Check the file DEPLOYMENT and print its settings, including default values.
 
-    All errors are listed with their fields, a line each on standard error; the exit code is 1 then.
+    If there are errors, each is printed with its field on a line of standard error, and the exit code is 1.
     """
     from ..deployment.checks import find_errors
     from ..deployment.reader import InvalidDeploymentError, load, to_text
@@ -45,20 +45,26 @@
 @click.command()
 @click.argument("deployment", type=DEPLOYMENT_PATH)
 @click.argument("object_hex", metavar="OBJECT")
-@click.option("--group", type=click.IntRange(0, 255), help="The object's group, if it is known.")
-@click.option("--from", "origin", default="", help="The region that asks; else that of the file's `self`.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object.")
+@click.option(
+    "--group", type=click.IntRange(0, 255), help="Purge group of the object. If absent, it is unknown."
+)
+@click.option(
+    "--from", "origin", default="", help="Requesting region. Default: the region of the file's `self`."
+)
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def route(deployment: str, object_hex: str, group: int | None, origin: str, as_json: bool) -> None:
-    """Print which regions are asked for OBJECT (16 hex digits), in their order, by DEPLOYMENT's routes."""
+    """Print the regions that are asked for OBJECT (16 hex digits) by DEPLOYMENT's routes, in their order."""
     from ..gateway.routes import Routes, read_route_rules
     from ..state.purge_history import UNKNOWN_GROUP
 
-    message = _load_valid(deployment)
+    message = _load_valid_deployment(deployment)
     object_id = _object_id(object_hex)
     names = [region.name for region in message.regions]
     local_region = origin or _region_of(message, message.self) or names[0]
     if local_region not in names:
-        raise click.BadParameter(f"no region is named {local_region}", param_hint="--from")
+        raise click.BadParameter(
+            f"no region is named {local_region!r}; the regions are {', '.join(names)}", param_hint="--from"
+        )
     remote_regions = [name for name in names if name != local_region]
     routes = Routes(local_region, remote_regions, read_route_rules(message.routes), 1, 1)
     known_group = UNKNOWN_GROUP if group is None else group
@@ -70,8 +76,8 @@
         click.echo(f"{' then '.join(regions)}   (by {reason})")
 
 
-def _load_valid(path: str) -> Deployment:
-    """Load a deployment; one with an error ends the command."""
+def _load_valid_deployment(path: str) -> Deployment:
+    """Load a deployment file. If it has errors, print them and end the command."""
     from ..deployment.checks import find_errors
     from ..deployment.reader import InvalidDeploymentError, load
 
@@ -90,12 +96,14 @@
     except ValueError:
         object_id = None
     if object_id is None or len(object_hex) != OBJECT_HEX_DIGITS:
-        raise click.BadParameter(f"not {OBJECT_HEX_DIGITS} hex digits", param_hint="OBJECT")
+        raise click.BadParameter(
+            f"expected {OBJECT_HEX_DIGITS} hex digits, got {object_hex!r}", param_hint="OBJECT"
+        )
     return object_id
 
 
 def _region_of(message: Deployment, gateway_name: str) -> str | None:
-    """Return the name of the region that a gateway is in; None if there is no such gateway."""
+    """Return the name of a gateway's region, or None if there is no gateway of that name."""
     return next(
         (
             region.name
--- a/marbleglade/cli/disk.py
+++ b/marbleglade/cli/disk.py
@@ -1,4 +1,4 @@
-"""`marbleglade disk`: inspects and repairs a disk cache while no front has it open."""
+"""`marbleglade disk`: inspects and repairs a disk cache that no process has open."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @contextmanager
 def _open_cache(directory: str) -> Iterator[DiskCache]:
-    """Open the cache in a directory, loaded completely; exit with a message if it can't be opened."""
+    """Open the cache in a directory and load all its entries. If it can't be opened, end the command."""
     from ..disk.disk_cache import DiskCache
     from ..disk.files import SegmentFiles
     from ..disk.index import Index
@@ -50,16 +50,16 @@
 
 @click.group()
 def disk() -> None:
-    """Inspect and repair a disk cache, offline.
+    """Inspect and repair a disk cache while no process has it open.
 
-    A cache that a running process has open is refused (exit code 2).
+    If a running process has the cache open, the exit code is 2.
     """
 
 
 @disk.command()
 @click.argument("directory", type=CACHE_DIRECTORY)
 def check(directory: str) -> None:
-    """Read every part of the cache in DIRECTORY and drop the corrupt ones; exit code 1 if there were any."""
+    """Read every part of the cache in DIRECTORY and drop corrupt ones. Exit code 1 if there were any."""
     with _open_cache(directory) as cache:
         parts = [part_id for part_id, _ in cache.stored_parts()]
         with click.progressbar(parts, label="checking", file=sys.stderr) as progress:
@@ -75,12 +75,12 @@
 
 @disk.command()
 @click.argument("directory", type=CACHE_DIRECTORY)
-@click.option("--json", "as_json", is_flag=True, help="One JSON object.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def stats(directory: str, as_json: bool) -> None:
-    """Show how much the cache in DIRECTORY holds."""
+    """Print the numbers of parts, bytes, segments and purge marks of the cache in DIRECTORY."""
     with _open_cache(directory) as cache:
         parts = list(cache.stored_parts())
-        figures = {
+        statistics = {
             "parts": len(parts),
             "objects": len({part_id.object_id for part_id, _ in parts}),
             "live_bytes": sum(entry.size for _, entry in parts),
@@ -91,17 +91,17 @@
             "recovered": cache.counters.recovered,
         }
     if as_json:
-        click.echo(json.dumps(figures))
+        click.echo(json.dumps(statistics))
     else:
-        for name, value in figures.items():
+        for name, value in statistics.items():
             click.echo(f"{name:16}{value:>16}")
 
 
 @disk.command(name="list")
 @click.argument("directory", type=CACHE_DIRECTORY)
-@click.option("--object", "object_hex", default="", help="Only this object, 16 hex digits.")
+@click.option("--object", "object_hex", default="", help="List only the parts of this object, 16 hex digits.")
 def list_(directory: str, object_hex: str) -> None:
-    """List the parts in the cache in DIRECTORY: object, part, group, tag, time of issue, bytes."""
+    """List the parts in the cache in DIRECTORY: object, part, group, tag, issue time (Unix ms), bytes."""
     with _open_cache(directory) as cache:
         for part_id, entry in cache.stored_parts(int(object_hex, 16) if object_hex else None):
             click.echo(
@@ -118,7 +118,7 @@
     try:
         object_id = int(object_hex, 16)
     except ValueError:
-        raise click.BadParameter("not 16 hex digits", param_hint="OBJECT") from None
+        raise click.BadParameter("expected 16 hex digits", param_hint="OBJECT") from None
     with _open_cache(directory) as cache:
         parts = [part_id.part for part_id, _ in cache.stored_parts(object_id)]
         cache.remove(object_id, parts)
--- a/marbleglade/cli/fleet.py
+++ b/marbleglade/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`marbleglade fleet`: checks the fleet's settings, and shows the fleet's state from the fronts' logs."""
+"""`marbleglade fleet`: checks the settings of the fleet, and shows its state from the logs of the fronts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 @fleet.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def check(file: str) -> None:
-    """Check FILE, the fleet settings that MARBLEGLADE_FLEET names, and print what is in force."""
+    """Check FILE, a fleet settings file as given by MARBLEGLADE_FLEET, and print its settings."""
     from ..fleet.fleet_settings import read
     from ..runtime.errors import InvalidConfigurationError
 
@@ -32,8 +32,8 @@
 @fleet.command()
 @click.argument("logs", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
 def show(logs: tuple[str, ...]) -> None:
-    """Show from fronts' LOGs the last state of each: who is alive, who leads, its share of the traffic."""
-    for front, status in sorted(last_states(logs, _status_in).items()):
+    """Show the last state of each front in LOGS: fronts alive, the leader, its share of the traffic."""
+    for front, status in sorted(last_states(logs, _state_fields).items()):
         leadership = status.get("leadership") or {
             name: status.get(name) for name in ("term", "leader", "is_leader")
         }
@@ -47,7 +47,7 @@
         )
 
 
-def _status_in(record: LogRecord) -> LogRecord:
+def _state_fields(record: LogRecord) -> LogRecord:
     """Return the fields of a log record that describe the fleet."""
     if record["event"] == "counters":
         status: LogRecord = record.get("fleet", {})
--- a/marbleglade/cli/front_logs.py
+++ b/marbleglade/cli/front_logs.py
@@ -1,4 +1,4 @@
-"""Reads the logs of fronts for commands that show their last state."""
+"""Reads the logs of fronts for the commands that show the last state of each front."""
 
 from __future__ import annotations
 
@@ -7,28 +7,29 @@
 from pathlib import Path
 from typing import Any
 
-LogRecord = dict[str, Any]  # one line: its fields by name
+LogRecord = dict[str, Any]  # the fields of one log line, by name
 
 
-def last_states(logs: Iterable[str], select: Callable[[LogRecord], LogRecord]) -> dict[str, LogRecord]:
-    """Return the last state of each front, by its name.
+def last_states(logs: Iterable[str], select_fields: Callable[[LogRecord], LogRecord]) -> dict[str, LogRecord]:
+    """Return the last state of each front, by front name.
 
     Args:
-        logs: Paths of log files, each of one or more fronts.
-        select: Returns the fields of a record that belong to the state; none if the record has no part in it.
+        logs: Paths of log files. A file may contain the records of several fronts.
+        select_fields: Function that returns the fields of a record that belong to the state. The result is
+            empty if the record has no such fields.
 
     Returns:
-        The selected fields, those of later records over those of earlier ones, and as `at` the time of the
-        last record that had any, Unix milliseconds.
+        By front name, the selected fields of all its records. Later records override earlier ones. The field
+        `at` is the Unix time in milliseconds of the last record that had selected fields.
     """
     states: dict[str, LogRecord] = {}
     for path in logs:
         for line in Path(path).read_bytes().splitlines():
             try:
                 record = json.loads(line)
-                front, fields = record["front"], select(record)
+                front, fields = record["front"], select_fields(record)
             except (ValueError, KeyError, TypeError):
-                continue  # a line that a kill cut short, or another program's
+                continue  # the line was truncated by a kill, or another program wrote it
             if fields:
                 states.setdefault(front, {}).update(fields | {"at": record.get("at", 0)})
     return states
--- a/marbleglade/cli/invalid_input.py
+++ b/marbleglade/cli/invalid_input.py
@@ -1,4 +1,4 @@
-"""How a command ends whose arguments or files can't be used."""
+"""Ends a command whose arguments or files are invalid."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 import click
 
-EXIT_INVALID = 2  # a deployment, a configuration or the arguments can't be used
+EXIT_INVALID = 2  # a deployment, a configuration or the arguments are invalid
 
 
 def exit_invalid(errors: Iterable[str]) -> NoReturn:
-    """Write each error on a line of standard error, and end the command."""
+    """Print each error on a line of standard error, and end the command with exit code 2."""
     for error in errors:
         click.echo(f"marbleglade: {error}", err=True)
     sys.exit(EXIT_INVALID)
--- a/marbleglade/cli/root_command.py
+++ b/marbleglade/cli/root_command.py
@@ -1,4 +1,4 @@
-"""`marbleglade`: its sub-commands on click."""
+"""The `marbleglade` command and its smaller sub-commands, built with click."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class LazyGroup(click.Group):
-    """A group that imports the modules of larger sub-commands only when they are named."""
+    """A group that imports the module of a larger sub-command only when the sub-command is used."""
 
     LAZY_COMMANDS = ("control", "disk", "fleet", "timeline", "work")
 
@@ -24,7 +24,7 @@
         return sorted([*super().list_commands(ctx), *self.LAZY_COMMANDS])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return a sub-command; None if there is none of that name."""
+        """Return a sub-command, or None if there is none of that name."""
         if cmd_name not in self.LAZY_COMMANDS:
             return super().get_command(ctx, cmd_name)
         command: click.Command = getattr(import_module(f".{cmd_name}", __package__), cmd_name)
@@ -33,12 +33,12 @@
 
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def marbleglade_command() -> None:
-    """A front for caches of large objects behind thin links, and gateways between regions.
+    """A front for caches of large objects behind low-bandwidth links, and gateways between regions.
 
-    Without a sub-command it is one front of the platform, configured by the file that GW_CONFIG names.
+    Without a sub-command, run one front, configured by the file whose path is in GW_CONFIG.
 
-    Exit codes: 0 done; 1 a check failed; 2 a deployment, a configuration or the arguments can't be used;
-    3 a library of this sub-command is not installed.
+    Exit codes: 0 success; 1 a check failed; 2 a deployment, a configuration or the arguments are invalid;
+    3 a library that the sub-command needs is not installed.
     """
 
 
@@ -48,10 +48,10 @@
 
 @marbleglade_command.command()
 def front() -> None:
-    """Run one front, configured by the file that GW_CONFIG names.
+    """Run one front, configured by the file whose path is in GW_CONFIG.
 
-    SIGHUP reads the file again, SIGUSR1 logs counters, SIGTERM or SIGINT ends it once all requests are
-    answered; SIGUSR2 is ignored.
+    SIGHUP reloads the file. SIGUSR1 logs the counters. SIGTERM or SIGINT stops the front after it has
+    answered all requests. SIGUSR2 is ignored.
     """
     from ..__main__ import run_front
 
@@ -60,14 +60,14 @@
 
 @marbleglade_command.command()
 @click.option(
-    "--deployment", required=True, type=DEPLOYMENT_PATH, help="The installation's file (textproto)."
+    "--deployment", required=True, type=DEPLOYMENT_PATH, help="Path of the deployment file (textproto)."
 )
-@click.option("--name", default="", help="Which gateway of it this is; else the file's `self`.")
+@click.option("--name", default="", help="Name of the gateway to run. Default: the file's `self`.")
 def gateway(deployment: str, name: str) -> None:
     """Run one gateway between regions.
 
-    SIGUSR1 logs counters and links, SIGTERM or SIGINT ends it once all requests that it took are answered;
-    SIGHUP and SIGUSR2 are ignored.
+    SIGUSR1 logs the counters and the links. SIGTERM or SIGINT stops the gateway after it has answered all
+    requests that it accepted. SIGHUP and SIGUSR2 are ignored.
     """
     from ..deployment.reader import InvalidDeploymentError, read
 
@@ -92,10 +92,10 @@
 @marbleglade_command.command()
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell: str) -> None:
-    """Print the completion script for SHELL, to be sourced there."""
+    """Print the completion script for SHELL, which has to be sourced in that shell."""
     from click.shell_completion import get_completion_class
 
     completion_class = get_completion_class(shell)
     if completion_class is None:
-        exit_invalid([f"no completion for {shell}"])
+        exit_invalid([f"no completion is available for shell {shell!r}"])
     click.echo(completion_class(marbleglade_command, {}, "marbleglade", COMPLETION_VARIABLE).source())
--- a/marbleglade/cli/timeline.py
+++ b/marbleglade/cli/timeline.py
@@ -1,4 +1,4 @@
-"""`marbleglade timeline`: the life of one request, from a log written with MARBLEGLADE_DEBUG=1."""
+"""`marbleglade timeline`: prints the events of one request from a log written with MARBLEGLADE_DEBUG=1."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
 
 from .front_logs import LogRecord
 
-COMMON_FIELDS = ("at", "front", "event", "trace")  # not repeated among a line's details
+COMMON_FIELDS = ("at", "front", "event", "trace")  # printed in columns or omitted, so not listed as details
 CONNECTION_EVENTS = ("cancelled", "client_left", "client_closed")
 FRONT_EVENTS = ("loop_late", "endpoints", "watch", "stopping", "ready")
 
 
 def request_events(lines: Iterable[bytes], trace: str) -> Iterator[LogRecord]:
-    """Yield the events of a request, of its client's connection and of the front meanwhile, in their order.
+    """Yield the events of a request in log order, with related events until the request is finished.
 
-    Lines that are no JSON objects are skipped: other programs may write to the same file.
+    Related events are those of the client's connection and of the front as a whole. Lines that are not JSON
+    objects are skipped, as other programs may write to the same file.
     """
     client: tuple[str, int] | None = None
     tag, front, ended = 0, "", False
@@ -44,7 +45,7 @@
 
 
 def format_events(events: Iterable[LogRecord]) -> Iterator[str]:
-    """Yield a line for each event, with milliseconds since the first one."""
+    """Yield a line for each event, with the milliseconds since the first event."""
     first_at = None
     for event in events:
         first_at = event["at"] if first_at is None else first_at
@@ -56,14 +57,15 @@
 @click.argument("trace")
 @click.argument("log", type=click.File("rb"), default="-")
 def timeline(trace: str, log: BinaryIO) -> None:
-    """Print what LOG (standard input if absent) has of the request with this TRACE, in order.
+    """Print the events of the request with the trace id TRACE from LOG, in their order.
 
-    The front has to run with MARBLEGLADE_DEBUG=1. The exit code is 1 if the log does not have the request.
+    If LOG is absent, standard input is read. The front has to run with MARBLEGLADE_DEBUG=1. The exit code is
+    1 if the log has no events of the request.
     """
     found = False
     for line in format_events(request_events(log, trace)):
         found = True
         click.echo(line)
     if not found:
-        click.echo(f"marbleglade: no line of request {trace}; was MARBLEGLADE_DEBUG=1 set?", err=True)
+        click.echo(f"marbleglade: no event of request {trace}; was MARBLEGLADE_DEBUG=1 set?", err=True)
         sys.exit(1)
--- a/marbleglade/cli/work.py
+++ b/marbleglade/cli/work.py
@@ -1,4 +1,4 @@
-"""`marbleglade work`: checks and forecasts maintenance plans, and shows their state from the fronts' logs."""
+"""`marbleglade work`: checks and forecasts maintenance plans, and shows their state from logs of fronts."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 @click.group()
 def work() -> None:
-    """Maintenance: takes machines out of service, in an order on which the fronts agree."""
+    """Maintenance: the fronts take machines out of service in an order on which they agree."""
 
 
 @work.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def check(file: str) -> None:
-    """Report all errors of FILE, a maintenance plan; print what is in force if there are none."""
-    loaded = _read(file)
+    """Check FILE, a maintenance plan. Print its settings, or all errors if there are any."""
+    loaded = _load_plan(file)
     plan = loaded.plan
     kinds = Counter(machine.kind.name.lower() for machine in plan.machines)
     counts = ", ".join(f"{count} {kind}" for kind, count in sorted(kinds.items()))
@@ -54,20 +54,24 @@
     type=click.Path(exists=True, dir_okay=False),
     required=True,
     help='JSON: {"fronts": 9, "places": [{"id", "kind", "zone", "pace"}], '
-    '"load": {"cache": 0.4}, "near": [["box1", "box2"]]}; pace is the slowdown of an upstream.',
+    '"load": {"cache": 0.4}, "near": [["box1", "box2"]]}; pace is the slowdown factor of an upstream.',
+)
+@click.option(
+    "--takes-ms",
+    type=click.IntRange(1),
+    help="Milliseconds that each machine is out of service. Default: its maximum in FILE.",
 )
-@click.option("--takes-ms", type=click.IntRange(1), help="Duration for each machine; by default its longest.")
 @click.option("--warms-ms", type=click.IntRange(0), default=DEFAULT_WARM_UP_MS, show_default=True)
 def plan(file: str, description: str, takes_ms: int | None, warms_ms: int) -> None:
-    """Print the order in which FILE's machines go out of a described fleet, and why some never do."""
+    """Print the order in which FILE's machines would go out of service, and why some never would."""
     from ..maintenance.forecast import forecast
     from ..maintenance.schedule import decide
 
-    maintenance_plan = _read(file).plan
+    maintenance_plan = _load_plan(file).plan
     try:
-        snapshot = _snapshot(json.loads(Path(description).read_bytes()), maintenance_plan)
+        snapshot = _snapshot_of(json.loads(Path(description).read_bytes()), maintenance_plan)
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        exit_invalid([f"{description}: {error!r}"])
+        exit_invalid([f"fleet description {description}: {error!r}"])
     waiting_at_first = decide(maintenance_plan, snapshot).waiting
     forecast_of_plan = forecast(
         maintenance_plan, snapshot, lambda machine: takes_ms or machine.max_duration_ms, warms_ms
@@ -86,8 +90,8 @@
 @work.command()
 @click.argument("logs", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
 def show(logs: tuple[str, ...]) -> None:
-    """Show from fronts' LOGs who leads, which machines are out, and why others wait."""
-    for front, status in sorted(last_states(logs, _status_in).items()):
+    """Show the leader, the machines out of service and the reasons why others wait, from LOGS of fronts."""
+    for front, status in sorted(last_states(logs, _state_fields).items()):
         is_leader = status.get("is_leader")
         click.echo(
             f"{front:12} at {status['at']} {status.get('stage', 'serving'):9} "
@@ -102,7 +106,7 @@
                 click.echo(f"{'':12} halted, {kind}: {reason}")
 
 
-def _read(file: str) -> LoadedPlan:
+def _load_plan(file: str) -> LoadedPlan:
     from ..maintenance.plan_file import read_plan
     from ..runtime.errors import InvalidConfigurationError
 
@@ -121,8 +125,8 @@
         )
 
 
-def _snapshot(description: dict[str, Any], plan: MaintenancePlan) -> FleetSnapshot:
-    """Return the described fleet, with all of it in service."""
+def _snapshot_of(description: dict[str, Any], plan: MaintenancePlan) -> FleetSnapshot:
+    """Return a snapshot of the described fleet with all its machines in service."""
     from ..maintenance.plan import Group, Kind, front_name
     from ..maintenance.snapshot import FleetSnapshot, NodeObservation
 
@@ -143,7 +147,7 @@
     return FleetSnapshot(int(time.time() * 1000), observations, groups, {}, load, adjacent)
 
 
-def _status_in(record: LogRecord) -> LogRecord:
+def _state_fields(record: LogRecord) -> LogRecord:
     """Return the fields of a log record that describe maintenance."""
     if record["event"] == "counters":
         status: LogRecord = record.get("maintenance", {})
