--- a/tests/cli/test_deployment_commands.py
+++ b/tests/cli/test_deployment_commands.py
@@ -1,4 +1,4 @@
-"""`marbleglade check` and `marbleglade route`, and what the reader of deployments refuses."""
+"""`marbleglade check` and `marbleglade route`, and files that the deployment reader rejects."""
 
 import json
 
@@ -10,12 +10,12 @@
 from tests.harness.programs import run_program
 from tests.harness.regions import LINK
 
-SECONDS = 20
+TIMEOUT_S = 20
 
 
 @pytest.fixture
-def deployment(tmp_path):
-    """The path of a deployment of two regions."""
+def deployment_path(tmp_path):
+    """The path of a file that describes a deployment of two regions."""
     regions = StandInRegions(LINK)
     path = tmp_path / "two.textproto"
     path.write_text(regions.deployment_text())
@@ -23,7 +23,7 @@
     regions.close()
 
 
-def test_check_names_all_faults_with_their_fields(tmp_path):
+def test_check_lists_all_errors_with_their_fields(tmp_path):
     path = tmp_path / "bad.textproto"
     path.write_text("""
         regions { name: "East" coordinator: "nowhere" zone: "z" hub_kind: "h" store_kind: "h" }
@@ -34,7 +34,7 @@
         profiles { name: "p" agreed_ms: 500 client_timeout_ms: 100 repeat: RECEIPTED }
         limits { most_launches: 99 pace: 5 } link { beat_ms: 100 silent_ms: 200 } rules { cold_factor: nan }
         """)
-    result = run_program("check", str(path), seconds=SECONDS)
+    result = run_program("check", str(path), seconds=TIMEOUT_S)
     assert result.returncode == 1
     assert [line.split(":")[0] for line in result.stderr.splitlines()] == [
         "limits.most_launches",
@@ -55,18 +55,18 @@
     ]
 
 
-def test_what_check_prints_can_be_read_again(deployment, tmp_path):
-    result = run_program("check", deployment, seconds=SECONDS)
+def test_the_output_of_check_is_an_equal_deployment(deployment_path, tmp_path):
+    result = run_program("check", deployment_path, seconds=TIMEOUT_S)
     assert result.returncode == 0 and "cold_factor: 3" in result.stdout
     printed = tmp_path / "printed.textproto"
     printed.write_text(result.stdout)
-    assert load(str(printed)) == load(deployment) and not find_errors(load(deployment))
+    assert load(str(printed)) == load(deployment_path) and not find_errors(load(deployment_path))
 
 
 @pytest.mark.parametrize(
     "text, reason", [("regions {", "two.textproto"), ("odd: 1", "odd"), ("\xff", "two.textproto")]
 )
-def test_a_file_that_is_no_deployment_is_refused(tmp_path, text, reason):
+def test_a_file_that_is_not_a_deployment_is_rejected(tmp_path, text, reason):
     path = tmp_path / "two.textproto"
     path.write_bytes(text.encode("latin-1"))
     with pytest.raises(InvalidDeploymentError, match=reason):
@@ -82,7 +82,7 @@
         ("7000000000000001", ["--from", "west"], ["west", "east"], "nothing"),
     ],
 )
-def test_route_prints_the_regions_of_an_object(deployment, object_id, options, regions, reason):
-    result = run_program("route", deployment, object_id, "--json", *options, seconds=SECONDS)
+def test_route_prints_the_regions_to_ask_and_the_reason(deployment_path, object_id, options, regions, reason):
+    result = run_program("route", deployment_path, object_id, "--json", *options, seconds=TIMEOUT_S)
     printed = json.loads(result.stdout)
     assert (printed["object"], printed["regions"], printed["by"]) == (object_id, regions, reason)
--- a/tests/cli/test_fleet_command.py
+++ b/tests/cli/test_fleet_command.py
@@ -1,4 +1,4 @@
-"""`marbleglade fleet`: the fleet's settings and its state from logs."""
+"""`marbleglade fleet`: checks of the fleet's settings, and the fleet's state from logs."""
 
 import json
 
@@ -23,7 +23,7 @@
         ("beat_ms: 1000\n" * 9000, None),
     ],
 )
-def test_settings_are_read_or_rejected_with_one_line(tmp_path, text, expected_ms):
+def test_fleet_settings_are_printed_or_rejected_with_one_line(tmp_path, text, expected_ms):
     path = tmp_path / "fleet.textproto"
     path.write_text(text)
     result = CliRunner().invoke(marbleglade_command, ["fleet", "check", str(path)])
@@ -36,11 +36,11 @@
         assert result.exit_code == 2 and result.output.count("\n") == 1
 
 
-def test_the_example_settings_are_valid():
+def test_the_example_fleet_settings_are_valid():
     assert read(str(ROOT / "deploy" / "fleet.textproto")).probe_interval_ms == 1000
 
 
-def test_the_last_state_of_each_front_is_shown_from_its_log(tmp_path):
+def test_the_last_fleet_state_of_a_front_is_shown_from_its_log(tmp_path):
     log = tmp_path / "f1.log"
     log.write_text(
         "\n".join(
--- a/tests/cli/test_maintenance_command.py
+++ b/tests/cli/test_maintenance_command.py
@@ -1,4 +1,4 @@
-"""`marbleglade work`: checks, forecasts and states of maintenance plans."""
+"""`marbleglade work`: checks and forecasts of maintenance plans, and their state from logs."""
 
 import json
 
@@ -8,8 +8,8 @@
 from marbleglade.cli.root_command import marbleglade_command
 from tests.harness.programs import ROOT
 
-EXAMPLE = str(ROOT / "deploy" / "work.textproto")
-FLEET = {
+EXAMPLE_PLAN = str(ROOT / "deploy" / "work.textproto")
+FLEET_DESCRIPTION = {
     "fronts": 6,
     "load": {"cache": 0.4},
     "near": [["box1", "box2"]],
@@ -25,16 +25,16 @@
 }
 
 
-def run_command(*arguments):
+def run_work_command(*arguments):
     return CliRunner().invoke(marbleglade_command, ["work", *arguments])
 
 
-def test_the_example_is_valid_and_all_errors_of_a_plan_are_listed(tmp_path):
-    result = run_command("check", EXAMPLE)
+def test_the_example_plan_is_valid_and_all_errors_of_a_plan_are_listed(tmp_path):
+    result = run_work_command("check", EXAMPLE_PLAN)
     assert result.exit_code == 0 and "7 machines: 3 cache, 3 front, 1 parent" in result.output
     bad = tmp_path / "bad.textproto"
     bad.write_text("asked_ms: 5 job { front: 1 } job { front: 1 } floor: 2")
-    result = run_command("check", str(bad))
+    result = run_work_command("check", str(bad))
     assert result.exit_code == 2 and result.output.count("marbleglade: ") == 3
 
 
@@ -47,20 +47,21 @@
         ({"places": [{"id": "box1", "kind": "x"}]}, 2, "KeyError"),
     ],
 )
-def test_the_forecast_says_when_each_machine_goes_out_or_why_it_never_does(
+def test_the_forecast_prints_when_each_machine_goes_out_or_why_it_never_does(
     tmp_path, change, exit_code, expected
 ):
     path = tmp_path / "fleet.json"
-    path.write_text(json.dumps(FLEET | change))
-    result = run_command("plan", EXAMPLE, "--fleet", str(path), "--takes-ms", "1000")
+    path.write_text(json.dumps(FLEET_DESCRIPTION | change))
+    result = run_work_command("plan", EXAMPLE_PLAN, "--fleet", str(path), "--takes-ms", "1000")
     assert result.exit_code == exit_code and expected in result.output, result.output
     if not exit_code:
         lines = result.output.splitlines()
         starts_s = [next(line for line in lines if name in line).split()[0] for name in ("box1", "box2")]
-        assert starts_s[0] != starts_s[1]  # neighbours in the hash
+        # These caches are the first two choices for a hot object, so they are not out at the same time.
+        assert starts_s[0] != starts_s[1]
 
 
-def test_the_last_state_of_each_front_is_shown_from_its_log(tmp_path):
+def test_the_last_maintenance_state_of_each_front_is_shown_from_its_log(tmp_path):
     path = tmp_path / "f.log"
     path.write_bytes(
         b"\n".join(
@@ -83,6 +84,6 @@
         )
         + b"\n{cut"
     )
-    result = run_command("show", str(path))
+    result = run_work_command("show", str(path))
     assert "leader 1 (this one)" in result.output and "box2: 1 cache at once" in result.output
     assert "draining" in result.output and result.exit_code == 0
--- a/tests/cli/test_root_command.py
+++ b/tests/cli/test_root_command.py
@@ -1,4 +1,4 @@
-"""The command line as a whole: exit codes, and what the platform's front does not import."""
+"""Exit codes of the commands, and modules that the front must not import."""
 
 import subprocess
 import sys
@@ -7,8 +7,8 @@
 
 from tests.harness.programs import run_program
 
-SECONDS = 20
-NOT_FOR_THE_FRONT = (
+TIMEOUT_S = 20
+MODULES_NOT_IMPORTED_BY_FRONTS = (
     "click",
     "structlog",
     "google",
@@ -34,20 +34,18 @@
         ([], 2, ""),
     ],
 )
-def test_a_command_ends_with_its_exit_code_and_without_a_traceback(
-    monkeypatch, arguments, exit_code, printed
-):
+def test_a_command_exits_with_its_code_and_without_a_traceback(monkeypatch, arguments, exit_code, printed):
     monkeypatch.delenv("GW_CONFIG", raising=False)
-    result = run_program(*arguments, seconds=SECONDS)
+    result = run_program(*arguments, seconds=TIMEOUT_S)
     assert result.returncode == exit_code
     assert printed in result.stdout
     assert "Traceback" not in result.stderr
 
 
-def test_the_front_imports_nothing_of_gateways_or_the_command_line():
+def test_the_front_does_not_import_gateways_or_the_command_line():
     code = (
         "import sys, marbleglade.__main__, marbleglade.service.front_process\n"
-        f"print([name for name in sys.modules if name.startswith({NOT_FOR_THE_FRONT!r})])"
+        f"print([name for name in sys.modules if name.startswith({MODULES_NOT_IMPORTED_BY_FRONTS!r})])"
     )
     result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
     assert result.stdout.strip() == "[]"
--- a/tests/disk/caches.py
+++ b/tests/disk/caches.py
@@ -1,4 +1,4 @@
-"""Small disk caches for tests with an unlimited write budget, and parts whose bytes follow from their ids."""
+"""Small disk caches with an unlimited write budget, and parts whose content is derived from their ids."""
 
 from marbleglade.disk.cached_part import CachedPart
 from marbleglade.disk.disk_cache import DiskCache
@@ -6,13 +6,13 @@
 from marbleglade.disk.steps import ignore_step
 from marbleglade.disk.write_budget import WriteBudget
 
-UNLIMITED = 10**15  # bytes a second
+UNLIMITED_BYTES_PER_S = 10**15
 CACHE_BYTES = 60_000
 CHECKPOINT_BYTES = 20_000
 
 
 def unlimited_budget():
-    return WriteBudget(UNLIMITED, 1, 3)
+    return WriteBudget(UNLIMITED_BYTES_PER_S, 1, 3)
 
 
 def body_of(object_id, part, version, size=3000):
--- a/tests/disk/test_disk_cache.py
+++ b/tests/disk/test_disk_cache.py
@@ -1,4 +1,4 @@
-"""The disk cache on a faulty disk: what it returns after crashes, purges and disk faults."""
+"""The disk cache on a simulated faulty disk: parts returned after crashes, purges and disk faults."""
 
 import pytest
 
@@ -31,7 +31,7 @@
     [(3, 0, 100, True), (3, 0, 99, False), (0, 1, 100, True), (0, 2, 500, False), (4, 0, 500, False)],
 )
 @pytest.mark.parametrize("when", ["before", "while recovering", "after"])
-def test_a_purge_is_in_force_whenever_it_arrives(object_id, group, purged_at_ms, purged, when):
+def test_a_purge_applies_before_during_and_after_recovery(object_id, group, purged_at_ms, purged, when):
     files, index = FaultyFiles(), MemoryIndex()
     cache = open_cache(files, index)
     put(cache, 3, 0, 1, 100)
@@ -40,9 +40,9 @@
         cache.purge(object_id, group, purged_at_ms, 41)
     files.crash()
     cache = open_cache(files, index, load=False)
-    if when == "while recovering":  # nothing is loaded yet
+    if when == "while recovering":  # no entry is loaded yet
         cache.purge(object_id, group, purged_at_ms, 41)
-        cache.purge(object_id, group, purged_at_ms - 50, 42)  # a later, older one revokes nothing
+        cache.purge(object_id, group, purged_at_ms - 50, 42)  # a late older purge has no effect
     while cache.load(1):
         pass
     if when == "after":
@@ -50,12 +50,12 @@
         cache.purge(object_id, group, purged_at_ms, 41)
     assert (cache.get(3, 0) is None) == purged
     assert cache.last_event_number in (41, 42)
-    assert not put(cache, 3, 0, 1, 100)  # nor is a late response cached
+    assert not put(cache, 3, 0, 1, 100)  # a late response with a purged version is not cached
     cache.purge_through(100)
     assert cache.get(3, 0) is None
 
 
-def test_a_part_with_another_tag_removes_the_other_parts_first():
+def test_a_part_with_another_tag_removes_the_parts_of_the_older_version():
     files, index = FaultyFiles(), MemoryIndex()
     cache = open_cache(files, index)
     for part in range(4):
@@ -63,7 +63,7 @@
     cache.checkpoint()
     assert put(cache, 3, 2, 2, 200)
     assert issue_times(cache, 3, 4) == [None, None, 200, None]
-    files.sync(cache.log.current)  # the new part is durable, its entry is not committed
+    files.sync(cache.log.current)  # the record of the new part is durable, but its entry is not committed
     files.crash()
     cache = open_cache(files, index)
     assert issue_times(cache, 3, 4) == [None, None, 200, None]
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("fault", ["failing", "full"])
-def test_a_disk_fault_raises_and_the_cache_works_once_it_is_over(fault):
+def test_a_disk_fault_raises_and_the_cache_works_after_it_is_repaired(fault):
     files, index = FaultyFiles(), MemoryIndex()
     cache = open_cache(files, index)
     put(cache, 3, 0, 1, 100)
@@ -108,14 +108,14 @@
 
 
 class UnsyncedCommit(DiskCache):
-    """A seeded fault: an entry is committed before its record is durable."""
+    """A deliberately faulty cache: it commits an entry before its record is durable."""
 
     def checkpoint(self):
         self._commit()
 
 
 def test_entries_are_not_committed_before_their_records_are_durable():
-    """The order of writes is what protects parts: with entries committed first, a crash loses some."""
+    """The order of writes protects parts: if entries are committed first, a crash loses some parts."""
     lost = {}
     for kind in (DiskCache, UnsyncedCommit):
         lost[kind] = 0
--- a/tests/disk/test_disk_cache_files.py
+++ b/tests/disk/test_disk_cache_files.py
@@ -1,4 +1,4 @@
-"""The disk cache on files: durability, processes that are killed, and the commands."""
+"""The disk cache on real files: durability, consistency after a SIGKILL, and the `disk` commands."""
 
 import json
 import subprocess
@@ -32,7 +32,7 @@
         Index(str(tmp_path))
 
 
-KILLED_PROCESS = """
+KILLED_PROCESS_SCRIPT = """
 import os, signal, sys
 sys.path.insert(0, os.getcwd())
 from marbleglade.disk.disk_cache import DiskCache
@@ -62,15 +62,15 @@
 def test_the_cache_is_consistent_after_a_kill_at_each_step(tmp_path, step):
     purges = {}
     for count in (0, 2):
-        done = subprocess.run(
-            [sys.executable, "-c", KILLED_PROCESS, str(tmp_path), step, str(count)],
+        result = subprocess.run(
+            [sys.executable, "-c", KILLED_PROCESS_SCRIPT, str(tmp_path), step, str(count)],
             capture_output=True,
             text=True,
             timeout=60,
             cwd=Path(__file__).parents[2],
         )
-        assert done.returncode in (0, -9), done.stderr
-        for line in done.stdout.splitlines():
+        assert result.returncode in (0, -9), result.stderr
+        for line in result.stdout.splitlines():
             object_id, purged_at_ms = map(int, line.split())
             purges[object_id] = max(purged_at_ms, purges.get(object_id, 0))
         cache = open_cache(SegmentFiles(str(tmp_path)), Index(str(tmp_path)))
@@ -90,24 +90,24 @@
     )
 
 
-def test_the_commands_inspect_and_repair_a_cache(tmp_path):
+def test_the_disk_commands_inspect_and_repair_a_cache(tmp_path):
     cache = open_cache(SegmentFiles(str(tmp_path)), Index(str(tmp_path)))
     for object_id in range(1, 6):
         for part in range(2):
             assert put(cache, object_id, part, 1, 100)
-    assert disk_command("check", str(tmp_path)).returncode == 2  # another process has it open
+    assert disk_command("check", str(tmp_path)).returncode == 2  # this process has the cache open
     cache.checkpoint()
     entry = cache.entries.get(PartId(3, 1))
     cache.close()
     assert json.loads(disk_command("stats", str(tmp_path), "--json").stdout)["parts"] == 10
     assert len(disk_command("list", str(tmp_path), "--object", f"{2:016x}").stdout.splitlines()) == 2
     assert disk_command("drop", str(tmp_path), f"{2:016x}").stdout == "2 parts dropped\n"
-    done = disk_command("check", str(tmp_path))
-    assert done.returncode == 0 and done.stdout.startswith("8 parts valid, 0 corrupt")
+    result = disk_command("check", str(tmp_path))
+    assert result.returncode == 0 and result.stdout.startswith("8 parts valid, 0 corrupt")
     segment = tmp_path / "segments" / f"{entry.segment:010d}.seg"
     data = bytearray(segment.read_bytes())
     data[entry.offset + records.HEADER.size + 5] ^= 4
     segment.write_bytes(data)
-    done = disk_command("check", str(tmp_path))
-    assert done.returncode == 1 and done.stdout.startswith("7 parts valid, 1 corrupt")
+    result = disk_command("check", str(tmp_path))
+    assert result.returncode == 1 and result.stdout.startswith("7 parts valid, 1 corrupt")
     assert disk_command("check", str(tmp_path)).stdout.startswith("7 parts valid, 0 corrupt")
--- a/tests/disk/test_disk_cache_states.py
+++ b/tests/disk/test_disk_cache_states.py
@@ -1,4 +1,4 @@
-"""The disk cache under all orders of writes, purges and crashes that hypothesis draws, and seeded faults."""
+"""A hypothesis state machine of writes, purges and crashes of a disk cache, checked with faulty caches."""
 
 import pytest
 from hypothesis import Phase, settings, strategies
@@ -67,7 +67,7 @@
             self.cache.purge(0 if of_group else object_id, object_id % 3, purged_at_ms)
         except CrashError:
             self.crash()
-            return  # it never returned
+            return  # the purge did not return, so it need not apply
         self.purges.append((0 if of_group else object_id, object_id % 3, purged_at_ms))
 
     @rule(step=strategies.sampled_from(list(Step)))
@@ -117,7 +117,7 @@
 
 
 class UncheckedRead(DiskCache):
-    """A seeded fault: a body is returned without a check."""
+    """A deliberately faulty cache: it returns a body without checking it."""
 
     def get(self, object_id, part):
         entry = self.entries.get(PartId(object_id, part))
@@ -128,7 +128,7 @@
 
 
 class VolatilePurge(DiskCache):
-    """A seeded fault: `purge` returns before its mark is durable."""
+    """A deliberately faulty cache: `purge` returns before its mark is durable."""
 
     def purge(self, object_id, group, purged_at_ms, event_number=0):
         marks = self.purge_marks.objects if object_id else self.purge_marks.groups
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("fault", [UncheckedRead, VolatilePurge])
-def test_the_state_machine_finds_a_seeded_fault(fault):
+def test_the_state_machine_detects_a_faulty_cache(fault):
     machine = type("Faulty", (DiskCacheMachine,), {"kind": fault})
     with pytest.raises((AssertionError, ExceptionGroup)):
         run_state_machine_as_test(
--- a/tests/disk/test_records.py
+++ b/tests/disk/test_records.py
@@ -1,4 +1,4 @@
-"""Records: they are read as they were written, and damaged ones are found."""
+"""The record codec: encoding and decoding, and detection of damaged records."""
 
 from marbleglade.disk import records
 
@@ -7,7 +7,7 @@
 RECORD = records.encode_record(HEADER, BODY)
 
 
-def test_a_record_is_read_as_it_was_written():
+def test_a_scan_returns_the_encoded_records():
     assert len(RECORD) == records.record_length(500)
     assert list(records.scan_records(RECORD * 3)) == [(n * len(RECORD), HEADER) for n in range(3)]
 
