--- a/marbleglade/disk/entry_table.py
+++ b/marbleglade/disk/entry_table.py
@@ -121,7 +121,10 @@
                 yield key, self._entry_at(slot)
 
     def sample(self, start: int, limit: int) -> list[tuple[int, TableEntry]]:
-        """Return up to `limit` keys and their entries, scanned from slot `start` modulo the slots."""
+        """Return up to `limit` keys and their entries, found by scanning from the slot `start`.
+
+        The caller passes a random `start`, which is taken modulo the number of slots.
+        """
         sampled: list[tuple[int, TableEntry]] = []
         slot = start & self._mask
         for _ in range(min(self._mask + 1, SLOTS_PROBED_PER_SAMPLE * limit)):
--- a/marbleglade/disk/eviction.py
+++ b/marbleglade/disk/eviction.py
@@ -22,7 +22,7 @@
 EVICTION_SAMPLE = 48  # randomly sampled entries of which the least valuable is evicted
 FIRST_PART_BONUS = 0.5  # relative bonus of the first part's value; it falls linearly to 0 for later parts
 BONUS_PARTS = 20  # number of parts of an object that have a bonus
-# A part's value falls to a quarter after this many uses of other parts, times the number of cached entries.
+# A part's value falls to a quarter after this many uses of other parts per cached entry.
 IDLE_USES_PER_ENTRY = 0.5
 MIN_ENTRIES_FOR_IDLE = 512  # lower bound of the number of entries when idle time is computed
 BASE_FREQUENCY = 0.2  # added to the recent uses, so that a part without recent uses keeps some value
--- a/marbleglade/disk/write_budget.py
+++ b/marbleglade/disk/write_budget.py
@@ -36,7 +36,10 @@
         return True
 
     def try_rewrite(self, size: int) -> bool:
-        """Take `size` bytes from the rewrite budget. Return false if it does not suffice."""
+        """Take `size` bytes from the rewrite budget to keep live parts of a segment.
+
+        Return false if it does not suffice, in which case these parts have to be dropped.
+        """
         written = self._new_bytes + self._rewritten_bytes + size
         if written > self._max_amplification * max(1, self._new_bytes):
             return False
