--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,4 +1,4 @@
-"""The scale run: hundreds of lightweight fronts and a few real ones under purges and faults.
+"""The scale run: measures hundreds of lightweight fronts and a few real ones under purges and faults.
 
-`python -m benchmarks.scale` is the command; `__main__.py` lists its options.
+Start it with `python -m benchmarks.scale`; `__main__.py` defines the options.
 """
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,8 +1,8 @@
 """The command line of the scale run: `python -m benchmarks.scale`.
 
-Sweeps where fronts watch the discovery service, then a run with a control plane under faults drawn from the
-seed. All figures come from processes on loopback with stand-ins. The last line is one JSON object; the exit
-code is 1 if a rule broke.
+It first runs sweeps in which fronts watch the discovery service, then a run with a control plane and faults
+that the seed selects. All figures come from processes on loopback with stand-ins. The last line of output is
+one JSON object; the exit code is 1 if a rule was broken.
 """
 
 from __future__ import annotations
@@ -16,97 +16,97 @@
 import orjson
 
 from . import measurement_file, slopes, sweep
-from .deployment import Scale
+from .deployment import RunSize
 from .faults import FaultKind
 from .measurement_file import Budget, Measurement
 from .plots import draw
 from .scenario import Scenario
-from .summary import BUDGET_LIMITS, Summary, kept
+from .summary import BUDGET_LIMITS, Summary, is_within_budget
 
-QUICK = Scale(
-    sizes=(100, 200),
-    real=4,
-    reference=2,
-    nodes=5,
+QUICK = RunSize(
+    front_counts=(100, 200),
+    real_fronts=4,
+    reference_fronts=2,
+    control_nodes=5,
     hosts=6,
-    directory=8192,
+    directory_entries=8192,
     caches=78,
-    purges=12.0,
-    other_purges=(),
-    window=3.0,
+    purges_per_s=12.0,
+    other_purges_per_s=(),
+    window_s=3.0,
     catch_up_s=1.0,
-    rate=6.0,
-    longest=46.0,
+    requests_per_s=6.0,
+    fault_deadline_s=46.0,
 )
-FULL = Scale(
-    sizes=(100, 365, 730),
-    real=8,
-    reference=4,
-    nodes=8,
+FULL = RunSize(
+    front_counts=(100, 365, 730),
+    real_fronts=8,
+    reference_fronts=4,
+    control_nodes=8,
     hosts=8,
-    directory=8192,
+    directory_entries=8192,
     caches=78,
-    purges=12.0,
-    other_purges=(3.0, 24.0),
-    window=8.0,
+    purges_per_s=12.0,
+    other_purges_per_s=(3.0, 24.0),
+    window_s=8.0,
     catch_up_s=4.0,
-    rate=6.0,
-    longest=420.0,
+    requests_per_s=6.0,
+    fault_deadline_s=420.0,
 )
 
 
 def arguments() -> argparse.Namespace:
-    """Return the options of the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--quick", action="store_true", help="ends within 50 s, without the sweeps")
-    parser.add_argument("--fronts", type=int, help="lightweight fronts at the end of the run")
-    parser.add_argument("--plot", type=Path, help="a PNG file for the plots")
-    parser.add_argument("--write", type=Path, help="the measurement file")
-    parser.add_argument("--no-sweeps", action="store_true", help="only the run with a control plane")
+    parser.add_argument("--quick", action="store_true", help="a run of at most 50 s, without the sweeps")
+    parser.add_argument("--fronts", type=int, help="number of lightweight fronts at the end of the run")
+    parser.add_argument("--plot", type=Path, help="write the plots to this PNG file")
+    parser.add_argument("--write", type=Path, help="write the measurements to this JSON file")
+    parser.add_argument("--no-sweeps", action="store_true", help="skip the sweeps")
     parser.add_argument(
         "--only",
         default="",
-        help=f"only these faults, at leisure: {', '.join(one.name.lower() for one in FaultKind)}",
+        help=f"only these faults, timed as a full run: {', '.join(one.name.lower() for one in FaultKind)}",
     )
     return parser.parse_args()
 
 
-def scale_of(options: argparse.Namespace) -> Scale:
-    """Return the size of the run by the options."""
+def run_size(options: argparse.Namespace) -> RunSize:
+    """Return the size of the run that the options select."""
     scale = QUICK if options.quick else FULL
     if options.only:
-        scale = replace(scale, longest=FULL.longest)
+        scale = replace(scale, fault_deadline_s=FULL.fault_deadline_s)
     if not options.fronts:
         return scale
-    smaller = [size for size in scale.sizes[:-2] if 2 * size < options.fronts]
-    return replace(scale, sizes=(*smaller, options.fronts // 2, options.fronts))
+    smaller = [size for size in scale.front_counts[:-2] if 2 * size < options.fronts]
+    return replace(scale, front_counts=(*smaller, options.fronts // 2, options.fronts))
 
 
 def progress(text: str) -> None:
-    """One line on the terminal."""
+    """Print a line with the time of day."""
     print(f"{time.strftime('%H:%M:%S')} {text}", flush=True)
 
 
 def main() -> int:
-    """Run all; return the exit code."""
+    """Run the sweeps and the scenario; return the exit code."""
     options = arguments()
     command = " ".join(["python -m benchmarks.scale", *sys.argv[1:]])
-    measurement = measurement_file.begin(options.seed, command)
+    measurement = measurement_file.start_measurement(options.seed, command)
     if not (options.quick or options.no_sweeps):
-        measurement.points += sweep.run(sweep.FULL, options.seed, progress)
+        measurement.points += sweep.run(sweep.FULL_SWEEP, options.seed, progress)
         if options.write:
-            measurement.write(options.write)  # so that it is not lost if the next part fails
+            measurement.write(options.write)  # keeps the results of the sweeps if the scenario fails
     only = frozenset(FaultKind[name.upper()] for name in options.only.split(",") if name)
-    scenario = Scenario(scale_of(options), options.seed, options.quick, progress, only)
+    scenario = Scenario(run_size(options), options.seed, options.quick, progress, only)
     summary = scenario.run()
     measurement.points += scenario.points
     for note in scenario.notes:
         progress(f"note: {note}")
     if scenario.skipped:
-        progress(f"faults not played: {', '.join(scenario.skipped)}")
+        progress(f"faults not injected for lack of time: {', '.join(scenario.skipped)}")
     finish(measurement, summary, options)
-    broken = summary.broken()
+    broken = summary.broken_rules()
     for rule in broken:
         progress(f"rule broken: {rule}")
     print(orjson.dumps(summary.line()).decode(), flush=True)
@@ -114,14 +114,14 @@
 
 
 def finish(measurement: Measurement, summary: Summary, options: argparse.Namespace) -> None:
-    """Fit the slopes, and write the files that the options name."""
+    """Fit the slopes and write the output files that the options specify."""
     modes = ("control",) if options.no_sweeps else ("discovery", "control")
     for mode in () if options.quick else modes:
         found, left_out = slopes.fit_all(measurement.points, mode)
         measurement.slopes += found
         for text in left_out:
             progress(f"not fitted: {text}")
-    measurement.summary, measurement.not_measured = summary.figures(), summary.gaps()
+    measurement.summary, measurement.not_measured = summary.figures(), summary.missing_reasons()
     measurement.load_after = measurement_file.load_average()
     measurement.budgets = [
         Budget(
@@ -130,7 +130,7 @@
             budget.unit,
             budget.field,
             getattr(summary, budget.field),
-            kept(budget, summary),
+            is_within_budget(budget, summary),
         )
         for budget in BUDGET_LIMITS
     ]
--- a/benchmarks/scale/checkers.py
+++ b/benchmarks/scale/checkers.py
@@ -1,6 +1,6 @@
-"""Checkers of a scale run, independent of the program under test; no I/O, no clocks.
+"""Correctness checks of a scale run. They share no code with marbleglade, do no I/O and read no clock.
 
-They compare what the run issued with what the lightweight fronts' own records say was applied and is cached.
+They compare the issued purges with the fronts' own records of applied purges and cached versions.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from .workload import group_of
 
 MILLISECOND_US = 1000
-MOST_NOTES = 10
-RECONNECT_US = 2_000_000  # what a front may take to be connected again after a cut
+MAX_NOTES = 10
+RECONNECT_US = 2_000_000  # time allowed for a front to reconnect after its connections were cut
 
-PurgeIdentity = tuple[int, int, int]  # object, group, Unix millisecond
+PurgeIdentity = tuple[int, int, int]  # object, group, Unix milliseconds
 
 
 @dataclass(frozen=True, slots=True)
 class IssuedPurge:
-    """A purge as it was issued. `issued_us` is Unix microseconds."""
+    """A purge that the run issued at `issued_us` (Unix microseconds)."""
 
     object: int
     group: int
@@ -30,47 +30,49 @@
 
     @property
     def identity(self) -> PurgeIdentity:
-        """What it is known by everywhere."""
+        """The key of the purge in the records of fronts and control nodes."""
         return self.object, self.group, self.unix_ms
 
 
 @dataclass(frozen=True, slots=True)
-class Disturbance:
-    """A time in which a front was cut off and may lack what was issued. Unix microseconds."""
+class Disconnection:
+    """A period in which a front was cut off and may have missed purges. Times are Unix microseconds."""
 
     begin_us: int
     end_us: int
 
 
 @dataclass(slots=True)
-class FrontLife:
-    """One run of one front, from a start to its end; `end_us` is 0 while it runs.
+class FrontIncarnation:
+    """One incarnation of a front: from a start of its process to its end.
 
     Attributes:
-        front: Its name.
-        start_ms: Unix milliseconds of the start; 0: not known yet.
-        connected_us: From when on every purge is to reach it.
+        front: Name of the front.
+        start_ms: Start in Unix milliseconds; 0 if not known yet.
+        connected_us: Unix microseconds from which on every purge must reach the front.
+        end_us: End in Unix microseconds; 0 while the front runs.
+        disconnections: Periods in which the front was cut off.
     """
 
     front: str
     start_ms: int
     connected_us: int
     end_us: int = 0
-    disturbances: list[Disturbance] = field(default_factory=list)
+    disconnections: list[Disconnection] = field(default_factory=list)
 
     def must_apply(self, issued_us: int, deadline_us: int) -> bool:
-        """Whether a purge of that moment is due within the deadline at this start of the front."""
+        """Whether this incarnation has to apply a purge issued at that time within the deadline."""
         if issued_us < self.connected_us or (self.end_us and issued_us + deadline_us > self.end_us):
             return False
         return not any(
-            one.begin_us <= issued_us + deadline_us and issued_us <= one.end_us + RECONNECT_US
-            for one in self.disturbances
+            cut.begin_us <= issued_us + deadline_us and issued_us <= cut.end_us + RECONNECT_US
+            for cut in self.disconnections
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Confirmation:
-    """`control status` showed a purge as done everywhere, at this moment."""
+    """`control status` showed a purge as applied everywhere at `confirmed_us` (Unix microseconds)."""
 
     object: int
     group: int
@@ -79,90 +81,107 @@
 
     @property
     def identity(self) -> PurgeIdentity:
-        """The purge that was confirmed."""
+        """The key of the confirmed purge."""
         return self.object, self.group, self.unix_ms
 
 
 @dataclass(slots=True)
-class Finding:
-    """How often a rule was broken; `notes` describe the first cases."""
+class Violations:
+    """The number of times that a rule was broken; `notes` describes the first `MAX_NOTES` cases."""
 
     count: int = 0
     notes: list[str] = field(default_factory=list)
 
     def add(self, note: str) -> None:
-        """Count one breach."""
+        """Count one violation."""
         self.count += 1
-        if len(self.notes) < MOST_NOTES:
+        if len(self.notes) < MAX_NOTES:
             self.notes.append(note)
 
 
 class AppliedIndex:
-    """Who applied which purge, and when first."""
+    """The time at which each incarnation of a front first applied each purge."""
 
     def __init__(self, applied: Iterable[AppliedPurge]) -> None:
         self.times: dict[PurgeIdentity, dict[tuple[str, int], int]] = defaultdict(dict)
-        for one in applied:
-            self.add(one)
+        for record in applied:
+            self.add(record)
 
-    def add(self, one: AppliedPurge) -> None:
-        """Take in one record."""
-        fronts = self.times[one.object, one.group, one.unix_ms]
-        key = one.front, one.start_ms
-        fronts[key] = min(one.applied_us, fronts.get(key, one.applied_us))
+    def add(self, record: AppliedPurge) -> None:
+        """Add one record; the earliest time counts."""
+        fronts = self.times[record.object, record.group, record.unix_ms]
+        key = record.front, record.start_ms
+        fronts[key] = min(record.applied_us, fronts.get(key, record.applied_us))
 
-    def when(self, identity: PurgeIdentity, life: FrontLife) -> int | None:
-        """Unix microseconds at which that start of the front applied the purge; None: it has not."""
-        return self.times.get(identity, {}).get((life.front, life.start_ms))
+    def first_applied_us(self, identity: PurgeIdentity, incarnation: FrontIncarnation) -> int | None:
+        """Unix microseconds at which the incarnation first applied the purge; None if it has not."""
+        return self.times.get(identity, {}).get((incarnation.front, incarnation.start_ms))
 
 
-def missed_purges(issued: list[IssuedPurge], index: AppliedIndex, lives: list[FrontLife]) -> Finding:
-    """Find purges that a running front never applied. Cuts are no excuse: they were healed before."""
-    found = Finding()
-    for life in lives:
-        if life.end_us:
+def missed_purges(
+    issued: list[IssuedPurge], index: AppliedIndex, incarnations: list[FrontIncarnation]
+) -> Violations:
+    """Find purges that a running front never applied.
+
+    Disconnections are not considered: all ended before this check, so the front must have caught up.
+    """
+    found = Violations()
+    for incarnation in incarnations:
+        if incarnation.end_us:
             continue
         for purge in issued:
-            if purge.issued_us >= life.connected_us and index.when(purge.identity, life) is None:
-                found.add(f"{life.front} never applied {purge.identity}")
+            if (
+                purge.issued_us >= incarnation.connected_us
+                and index.first_applied_us(purge.identity, incarnation) is None
+            ):
+                found.add(f"{incarnation.front} never applied {purge.identity}")
     return found
 
 
-def everywhere_seconds(
-    issued: list[IssuedPurge], index: AppliedIndex, lives: list[FrontLife], deadline_us: int
+def purge_latencies_s(
+    issued: list[IssuedPurge], index: AppliedIndex, incarnations: list[FrontIncarnation], deadline_us: int
 ) -> dict[PurgeIdentity, float]:
-    """Return for each purge the seconds until the last front that has to apply it has done so.
+    """Return for each purge the seconds until every front that has to apply it has done so.
 
-    Purges that no front has to apply, and those that a front never applied, are left out.
+    Omits purges that no front has to apply and purges that one of these fronts never applied.
     """
     seconds: dict[PurgeIdentity, float] = {}
     for purge in issued:
-        obliged = [life for life in lives if life.must_apply(purge.issued_us, deadline_us)]
-        applied = [when for life in obliged if (when := index.when(purge.identity, life)) is not None]
-        if applied and len(applied) == len(obliged):
+        required = [
+            incarnation
+            for incarnation in incarnations
+            if incarnation.must_apply(purge.issued_us, deadline_us)
+        ]
+        applied = [
+            applied_us
+            for incarnation in required
+            if (applied_us := index.first_applied_us(purge.identity, incarnation)) is not None
+        ]
+        if applied and len(applied) == len(required):
             seconds[purge.identity] = max(0, max(applied) - purge.issued_us) / 1e6
     return seconds
 
 
 def seconds_after_heal(
-    issued: list[IssuedPurge], index: AppliedIndex, lives: list[FrontLife]
+    issued: list[IssuedPurge], index: AppliedIndex, incarnations: list[FrontIncarnation]
 ) -> float | None:
-    """Return the longest time of a purge that was issued in a cut, or before the front was connected again.
+    """Return the longest time until a front applied a purge issued while it was cut off or reconnecting.
 
-    It counts from the heal, or from its issue if that was later. None: no cut, or it was never applied.
+    The time counts from the end of the cut, or from the issue of the purge if that was later.
+    None if no front was cut off, or if such a purge was never applied.
     """
     longest: float | None = None
-    for life in lives:
-        for cut in life.disturbances:
-            if life.end_us and life.end_us <= cut.end_us + RECONNECT_US:
+    for incarnation in incarnations:
+        for cut in incarnation.disconnections:
+            if incarnation.end_us and incarnation.end_us <= cut.end_us + RECONNECT_US:
                 continue
             for purge in issued:
                 if not cut.begin_us <= purge.issued_us < cut.end_us + RECONNECT_US:
                     continue
-                when = index.when(purge.identity, life)
-                if when is None:
+                applied_us = index.first_applied_us(purge.identity, incarnation)
+                if applied_us is None:
                     return None
-                seconds = max(0, when - max(purge.issued_us, cut.end_us)) / 1e6
+                seconds = max(0, applied_us - max(purge.issued_us, cut.end_us)) / 1e6
                 longest = seconds if longest is None else max(longest, seconds)
     return longest
 
@@ -172,52 +191,58 @@
     cached_at_us: int,
     issued: list[IssuedPurge],
     confirmed: list[Confirmation],
-    lives: list[FrontLife],
+    incarnations: list[FrontIncarnation],
     deadline_us: int,
-) -> Finding:
-    """Copies that are older than a purge which was confirmed, or past its deadline while connected."""
-    confirmed_at = {one.identity: one.confirmed_us for one in reversed(confirmed)}
-    current = {life.front: life for life in lives if not life.end_us}
+) -> Violations:
+    """Find cached versions that a purge should have removed.
+
+    The purge was confirmed as applied everywhere, or its deadline has passed and the front was connected.
+    """
+    confirmed_at = {entry.identity: entry.confirmed_us for entry in reversed(confirmed)}
+    current = {incarnation.front: incarnation for incarnation in incarnations if not incarnation.end_us}
     by_target: dict[tuple[str, int], list[IssuedPurge]] = defaultdict(list)
     for purge in issued:
         by_target[("object", purge.object) if purge.object else ("group", purge.group)].append(purge)
-    found = Finding()
+    found = Violations()
     for version in cached:
         purges = by_target[("object", version.object)] + by_target[("group", group_of(version.object))]
         for purge in purges:
             if version.issued_ms > purge.unix_ms:
                 continue
             done = confirmed_at.get(purge.identity, cached_at_us + 1) <= cached_at_us
-            life = current.get(version.front)
+            incarnation = current.get(version.front)
             overdue = (
-                life is not None
+                incarnation is not None
                 and cached_at_us - purge.issued_us > deadline_us
-                and life.must_apply(purge.issued_us, deadline_us)
+                and incarnation.must_apply(purge.issued_us, deadline_us)
             )
             if done or overdue:
                 found.add(
-                    f"{version.front} holds {version.object:x} of {version.issued_ms}, purged {purge.unix_ms}"
+                    f"{version.front} has object {version.object:x} as issued at {version.issued_ms} ms, "
+                    f"purged at {purge.unix_ms} ms"
                 )
                 break
     return found
 
 
 def false_confirmations(
-    confirmed: list[Confirmation], index: AppliedIndex, lives: list[FrontLife]
-) -> Finding:
-    """Find purges confirmed as applied everywhere while a front that ran then had not applied them.
+    confirmed: list[Confirmation], index: AppliedIndex, incarnations: list[FrontIncarnation]
+) -> Violations:
+    """Find purges confirmed as applied everywhere although a front that ran then had not applied them.
 
-    A start that began after the purge was shown as done can't have been counted; it is left out.
+    Ignores incarnations that started after the confirmation, as the control plane could not count them.
     """
-    found = Finding()
-    for one in confirmed:
-        for life in lives:
-            running = life.start_ms * MILLISECOND_US <= one.confirmed_us and not (
-                life.end_us and life.end_us <= one.confirmed_us
+    found = Violations()
+    for confirmation in confirmed:
+        for incarnation in incarnations:
+            running = incarnation.start_ms * MILLISECOND_US <= confirmation.confirmed_us and not (
+                incarnation.end_us and incarnation.end_us <= confirmation.confirmed_us
             )
             if not running:
                 continue
-            when = index.when(one.identity, life)
-            if when is None or when > one.confirmed_us:
-                found.add(f"{one.identity} was shown as done; {life.front} had not applied it")
+            applied_us = index.first_applied_us(confirmation.identity, incarnation)
+            if applied_us is None or applied_us > confirmation.confirmed_us:
+                found.add(
+                    f"purge {confirmation.identity} was confirmed, but {incarnation.front} had not applied it"
+                )
     return found
--- a/benchmarks/scale/configuring.py
+++ b/benchmarks/scale/configuring.py
@@ -1,4 +1,4 @@
-"""Configuration versions in a scale run: proposed by command, timed by the reports of lightweight fronts."""
+"""Proposes configuration versions by command and measures when lightweight fronts have them in force."""
 
 from __future__ import annotations
 
@@ -16,64 +16,65 @@
 from .topology import document_text
 from .worker import Worker
 
-PROPOSE_TIMEOUT_S = 20.0  # for the command to end
-IN_FORCE_TIMEOUT_S = 15.0  # for a version to be in force
-STATUS_TIMEOUT_S = 5.0  # for the status to name the fronts that reject a version
-POLL_INTERVAL_S = 0.25  # by which a measured time may be too long
-REFUSED_SHARE = 0.1  # of a region's fronts, that a document leaves out
+PROPOSE_TIMEOUT_S = 20.0  # until the command ends
+IN_FORCE_TIMEOUT_S = 15.0  # until a version is in force at every front that accepts it
+STATUS_TIMEOUT_S = 5.0  # until the status lists the fronts that reject a version
+POLL_INTERVAL_S = 0.25  # a measured time may be too long by as much
+REJECTING_SHARE = 0.1  # share of a region's fronts that a document does not list
 
 
 class ProposalError(Exception):
-    """The command did not get the version accepted."""
+    """The command to propose a configuration version failed."""
 
 
 @dataclass(slots=True)
 class ConfigurationOutcome:
-    """What became of the versions that were proposed.
+    """Results of all proposed versions.
 
     Attributes:
-        seconds: For each, from the start of the command until the last front that can use it has it in force.
-        command_seconds: For each, until the command had ended.
-        refusing: Fronts that can't use one of them.
-        named: Those that the control plane's status named as refusing it.
-        faults: What went wrong.
+        in_force_seconds: For each version, from the start of the command until every front that accepts the
+            version has it in force.
+        command_seconds: For each version, how long the command ran.
+        rejecting: Fronts that must reject a version because it does not list them.
+        reported_rejecting: Those of `rejecting` that the control plane's status listed as well.
+        failures: Descriptions of what went wrong.
     """
 
-    seconds: list[float] = field(default_factory=list)
+    in_force_seconds: list[float] = field(default_factory=list)
     command_seconds: list[float] = field(default_factory=list)
-    refusing: list[str] = field(default_factory=list)
-    named: list[str] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)
+    rejecting: list[str] = field(default_factory=list)
+    reported_rejecting: list[str] = field(default_factory=list)
+    failures: list[str] = field(default_factory=list)
 
 
-class Configuring:
-    """Proposes versions and watches them come into force."""
+class ConfigurationProposer:
+    """Proposes configuration versions and waits until they are in force."""
 
     def __init__(self, settings_path: Path, population: Population, watch: Worker) -> None:
         self.settings_path, self.population, self.watch = settings_path, population, watch
         self.version = 0
         self.outcome = ConfigurationOutcome()
-        self.reports: list[StatusReport] = []  # read from the status worker meanwhile
+        self.reports: list[StatusReport] = []  # status reports read here, for `Scenario` to process
 
-    def play(self, region: str) -> str:
-        """A version that all can use, one that some fronts of a region refuse, and one for all again."""
+    def propose_versions(self, region: str) -> str:
+        """Propose a version that all fronts accept, one that some reject, and one that all accept again."""
         names = [name for name in self.population.current if self.population.region_of[name] == region]
-        refusing = sorted(names)[: max(1, round(len(names) * REFUSED_SHARE))]
+        rejecting = sorted(names)[: max(1, round(len(names) * REJECTING_SHARE))]
         self.propose(region, names, [])
-        self.propose(region, names, refusing)
-        self._name_refusing(refusing)
+        self.propose(region, names, rejecting)
+        self._check_reported_rejections(rejecting)
         self.propose(region, names, [])
-        return f"version {self.version}, {len(refusing)} fronts refused the one before"
+        return f"version {self.version}, {len(rejecting)} fronts rejected the version before"
 
-    def propose(self, region: str, peers: list[str], refusing: list[str]) -> None:
-        """Propose a document that lists these peers without the refusing, and wait until it is in force."""
+    def propose(self, region: str, peers: list[str], rejecting: list[str]) -> None:
+        """Propose a document that lists the peers without `rejecting`, and wait until it is in force."""
         path = self.settings_path.parent / "document.textproto"
-        path.write_text(document_text(self.version, region, peers, refusing))
+        path.write_text(document_text(self.version, region, peers, rejecting))
         began = time.monotonic()
         self._command(path)
         self.outcome.command_seconds.append(time.monotonic() - began)
         self.version += 1
-        self._wait(began, refusing)
+        self._wait(began, rejecting)
 
     def _command(self, path: Path) -> None:
         command = [sys.executable, "-O", "-m", "marbleglade", "control", "propose"]
@@ -87,33 +88,38 @@
             process.kill()
         output = process.communicate()[0].decode("utf-8", "replace").strip()
         if process.returncode:
-            raise ProposalError(f"propose ended with {process.returncode}: {output}")
+            raise ProposalError(f"control propose ended with exit code {process.returncode}: {output}")
 
-    def _wait(self, began: float, refusing: list[str]) -> None:
+    def _wait(self, began: float, rejecting: list[str]) -> None:
         end = time.monotonic() + IN_FORCE_TIMEOUT_S
         while time.monotonic() < end:
             reports = self.population.collect()
             versions = {state.front: state.version for report in reports for state in report.fronts}
             missing = [name for name, version in versions.items() if version != self.version]
-            if set(missing) <= set(refusing):
-                self.outcome.seconds.append(time.monotonic() - began)
-                if len(missing) != len(refusing):
-                    self.outcome.faults.append(f"version {self.version} is in force where it can't be used")
+            if set(missing) <= set(rejecting):
+                self.outcome.in_force_seconds.append(time.monotonic() - began)
+                if len(missing) != len(rejecting):
+                    self.outcome.failures.append(
+                        f"version {self.version} is in force at fronts that must reject it"
+                    )
                 return
             gevent.sleep(POLL_INTERVAL_S)
-        self.outcome.faults.append(f"version {self.version} is not in force at {len(missing)} fronts")
+        self.outcome.failures.append(f"version {self.version} is not in force at {len(missing)} fronts")
 
-    def _name_refusing(self, refusing: list[str]) -> None:
+    def _check_reported_rejections(self, rejecting: list[str]) -> None:
         end = time.monotonic() + STATUS_TIMEOUT_S
-        named: list[str] = []
+        reported: list[str] = []
         while time.monotonic() < end:
             report = self.watch.request(Collect(), StatusReport)
             self.reports.append(report)
-            named = report.refused if report.version == self.version else []
-            if sorted(named) == refusing:
+            reported = report.refused if report.version == self.version else []
+            if sorted(reported) == rejecting:
                 break
             gevent.sleep(POLL_INTERVAL_S)
         else:
-            self.outcome.faults.append(f"{len(refusing)} fronts refused, {len(named)} are named")
-        self.outcome.refusing += refusing
-        self.outcome.named += [name for name in named if name in refusing]
+            self.outcome.failures.append(
+                f"{len(rejecting)} fronts must reject version {self.version}, but the status lists "
+                f"{len(reported)} that do"
+            )
+        self.outcome.rejecting += rejecting
+        self.outcome.reported_rejecting += [name for name in reported if name in rejecting]
--- a/benchmarks/scale/discovery.py
+++ b/benchmarks/scale/discovery.py
@@ -1,6 +1,7 @@
-"""A discovery service stand-in for hundreds of followers, which can be silenced, cut short and restarted.
+"""A stand-in for a discovery service with hundreds of followers, which can inject faults.
 
-Each follower has a greenlet of its own, so that a slow reader delays no other.
+It can stop sending to followers, send a partial line and restart its event numbers. Each follower has its own
+greenlet, so that a slow reader does not delay the others.
 """
 
 from __future__ import annotations
@@ -17,20 +18,29 @@
 
 from .messages.common import ServerEntry
 
-HEARTBEAT = 1.0  # seconds
-BATCH = 256  # events that are written to a follower at once
-LONGEST_FOLLOW = 64  # bytes of a follower's line
-FOLLOW_TIMEOUT = 5.0  # seconds within which a follower says where it stands
+HEARTBEAT_INTERVAL_S = 1.0
+BATCH_EVENTS = 256  # most events in one write to a follower
+MAX_FOLLOW_LINE_BYTES = 64  # of the request line that a follower sends
+FOLLOW_TIMEOUT_S = 5.0  # until a follower has sent its position
 
 
 @dataclass(eq=False)
 class Follower:
-    """One connection: `position` is the number of the last event that was sent."""
+    """One connection of a follower.
+
+    Attributes:
+        sock: The connection.
+        number: Ordinal number of the connection.
+        position: Number of the last event that was sent.
+        heartbeat_due: Whether a heartbeat is to be sent.
+        silent: Whether nothing is sent, though the connection stays open.
+        wake: Wakes the writer.
+    """
 
     sock: socket.socket
     number: int
     position: int = 0
-    heartbeat: bool = True
+    heartbeat_due: bool = True
     silent: bool = False
     wake: Event = field(default_factory=Event)
 
@@ -42,7 +52,7 @@
         self.events: list[bytes] = []
         self.endpoint_list: list[ServerEntry] = []
         self.followers: set[Follower] = set()
-        self.accepted = 0
+        self.accepted_count = 0
         self.silent_reconnections = 0
         self.bytes_out = 0
         self.listener = listening_socket()
@@ -51,7 +61,7 @@
         self.loops = [gevent.spawn(self._accept), gevent.spawn(self._send_heartbeats)]
 
     def publish_caches(self, servers: list[ServerEntry]) -> None:
-        """Publish the complete list of caches."""
+        """Publish a complete endpoint list."""
         self.endpoint_list = servers
         content = {"version": len(self.events) + 1, "full": True, "servers": servers}
         self._publish({"endpoints": content})
@@ -62,14 +72,17 @@
         self._publish({"evict": {**target, "unix_ms": unix_ms}})
 
     def silence(self, one_in: int, reconnections: int) -> None:
-        """Send one follower in so many nothing more on its connection; 0: send to all again."""
-        for number, follower in enumerate(sorted(self.followers, key=lambda one: one.number)):
+        """Send nothing more to one in `one_in` followers and on the next `reconnections` connections.
+
+        0 for `one_in` resumes sending to all.
+        """
+        for number, follower in enumerate(sorted(self.followers, key=lambda follower: follower.number)):
             follower.silent = bool(one_in) and number % one_in == 0
             follower.wake.set()
         self.silent_reconnections = reconnections
 
     def send_partial_line(self) -> None:
-        """Write half of the last event to each watcher and close the connection."""
+        """Write the first half of the last event to each follower and close the connections."""
         half = self.events[-1][: len(self.events[-1]) // 2] if self.events else b"{"
         for follower in list(self.followers):
             with suppress(OSError):
@@ -77,7 +90,7 @@
             follower.sock.close()
 
     def restart_numbering(self) -> None:
-        """Restart the numbers at 1, with the last list and without purges."""
+        """Restart the event numbers at 1, republish the last endpoint list and forget all purges."""
         self.events = []
         for follower in list(self.followers):
             follower.sock.close()
@@ -95,14 +108,14 @@
             gevent.spawn(self._serve, sock)
 
     def _serve(self, sock: socket.socket) -> None:
-        self.accepted += 1
-        follower = Follower(sock, self.accepted)
+        self.accepted_count += 1
+        follower = Follower(sock, self.accepted_count)
         if self.silent_reconnections:
             self.silent_reconnections -= 1
             follower.silent = True
         reader = None
         try:
-            follower.position = self._position(sock)
+            follower.position = self._read_position(sock)
             self.followers.add(follower)
             reader = gevent.spawn(self._read_until_closed, follower)
             self._write(follower)
@@ -115,21 +128,21 @@
                 reader.kill(block=False)
 
     @staticmethod
-    def _position(sock: socket.socket) -> int:
-        sock.settimeout(FOLLOW_TIMEOUT)
+    def _read_position(sock: socket.socket) -> int:
+        sock.settimeout(FOLLOW_TIMEOUT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         line = b""
         while not line.endswith(b"\n"):
-            data = sock.recv(LONGEST_FOLLOW)
-            if not data or len(line) > LONGEST_FOLLOW:
-                raise ValueError("no position")
+            data = sock.recv(MAX_FOLLOW_LINE_BYTES)
+            if not data or len(line) > MAX_FOLLOW_LINE_BYTES:
+                raise ValueError("the follower sent no complete line with its position")
             line += data
         sock.settimeout(None)
         return int(line.split()[1])
 
     def _read_until_closed(self, follower: Follower) -> None:
         with suppress(OSError):
-            while follower.sock.recv(LONGEST_FOLLOW):
+            while follower.sock.recv(MAX_FOLLOW_LINE_BYTES):
                 pass
         follower.sock.close()
         follower.wake.set()
@@ -138,11 +151,11 @@
         while not follower.sock.closed:
             follower.wake.clear()
             if not follower.silent:
-                lines = self.events[follower.position : follower.position + BATCH]
+                lines = self.events[follower.position : follower.position + BATCH_EVENTS]
                 follower.position = max(follower.position, 0) + len(lines)
                 data = b"".join(lines)
-                if follower.heartbeat and follower.position >= len(self.events):
-                    follower.heartbeat = False
+                if follower.heartbeat_due and follower.position >= len(self.events):
+                    follower.heartbeat_due = False
                     data += b"%d\n" % len(self.events)
                 if data:
                     follower.sock.sendall(data)
@@ -153,7 +166,7 @@
 
     def _send_heartbeats(self) -> None:
         while True:
-            gevent.sleep(HEARTBEAT)
+            gevent.sleep(HEARTBEAT_INTERVAL_S)
             for follower in self.followers:
-                follower.heartbeat = True
+                follower.heartbeat_due = True
                 follower.wake.set()
--- a/benchmarks/scale/discovery_host.py
+++ b/benchmarks/scale/discovery_host.py
@@ -1,4 +1,4 @@
-"""Worker process: the discovery services of all regions. Arguments: the regions' names."""
+"""Worker process that runs the discovery services of all regions. Arguments: the names of the regions."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class DiscoveryHost:
-    """Carries out the scale run's commands at the services of all regions."""
+    """Executes the scale run's commands on the discovery services of all regions."""
 
     def __init__(self, regions: list[str]) -> None:
         self.services = {region: DiscoveryService() for region in regions}
 
     def handle(self, command: object) -> object | None:
-        """Carry out one command; return the reply."""
+        """Execute one command; return the reply, or None if it has no result."""
         match command:
             case PublishPurge(object_id, group, unix_ms):
                 for service in self.services.values():
@@ -55,5 +55,5 @@
 
 if __name__ == "__main__":
     host = DiscoveryHost(sys.argv[1:])
-    addresses = {region: ":".join(map(str, one.address)) for region, one in host.services.items()}
+    addresses = {region: ":".join(map(str, service.address)) for region, service in host.services.items()}
     serve(Ready(addresses), host.handle)
--- a/benchmarks/scale/fault_runner.py
+++ b/benchmarks/scale/fault_runner.py
@@ -1,10 +1,10 @@
-"""Carries out the faults of a scale run."""
+"""Injects the faults of a scale run."""
 
 from __future__ import annotations
 
 import gevent
 
-from .configuring import Configuring
+from .configuring import ConfigurationProposer
 from .control_plane import ControlPlane, SlowReaders
 from .faults import RESTARTED_SHARE, ZONE_SHARE, Fault, FaultKind
 from .messages.discovery import RestartNumbering, SendPartialLine
@@ -13,14 +13,14 @@
 from .topology import REAL_REGION, REGIONS
 from .worker import Worker
 
-PAUSE = 0.5  # seconds without purges around a discovery service's new beginning
-EMPTY_DIRECTORY = 0  # entries of a front that was restarted
-RESTART_GAP = 1.0  # seconds that a front is away for a restart
-SLOW_READERS_EACH = 6  # at each control node
+PURGE_PAUSE_S = 0.5  # without purges before and after a discovery service restarts its numbers
+EMPTY_DIRECTORY = 0  # directory entries of a restarted front
+RESTART_DELAY_S = 1.0  # between the end of a front and its next start
+SLOW_READERS_PER_NODE = 6  # connections to each control node
 
 
 class FaultRunner:
-    """Carries out one fault after the other; each is over when `play` returns."""
+    """Injects faults one at a time; a fault has ended when `inject` returns."""
 
     def __init__(
         self,
@@ -28,11 +28,11 @@
         population: Population,
         discovery: Worker,
         issuer: PurgeIssuer,
-        configuring: Configuring,
+        proposer: ConfigurationProposer,
         listed: int,
     ) -> None:
         self.plane, self.population, self.discovery = plane, population, discovery
-        self.issuer, self.configuring, self.listed = issuer, configuring, listed
+        self.issuer, self.proposer, self.listed = issuer, proposer, listed
         self.actions = {
             FaultKind.KILL_NODE: self.kill_node,
             FaultKind.HANG_NODE: self.hang_node,
@@ -41,22 +41,22 @@
             FaultKind.CUT_REGION: self.cut_region,
             FaultKind.RESTART_FRONTS: self.restart_fronts,
             FaultKind.SLOW_READERS: self.slow_readers,
-            FaultKind.HALF_LINE: self.half_line,
+            FaultKind.HALF_LINE: self.send_partial_line,
             FaultKind.DISCOVERY_ANEW: self.restart_numbering,
-            FaultKind.REFUSED_CONFIGURATION: self.configure,
+            FaultKind.REFUSED_CONFIGURATION: self.reject_configuration,
         }
 
     @property
     def available(self) -> frozenset[FaultKind]:
-        """The faults that can be carried out."""
+        """The kinds of faults that can be injected."""
         return frozenset(self.actions)
 
-    def play(self, fault: Fault) -> str:
-        """Play a fault to its end; return whom it hit."""
+    def inject(self, fault: Fault) -> str:
+        """Inject a fault, wait for its end, and return a description of its target."""
         return self.actions[fault.kind](fault)
 
     def kill_node(self, fault: Fault) -> str:
-        """A control node is killed, and started again at the end."""
+        """Kill a control node and start it again after the fault's duration."""
         name = fault.choose(sorted(self.plane.nodes))
         self.plane.kill(name)
         gevent.sleep(fault.seconds)
@@ -64,7 +64,7 @@
         return name
 
     def hang_node(self, fault: Fault) -> str:
-        """A control node is stopped and goes on later."""
+        """Stop a control node with SIGSTOP and resume it after the fault's duration."""
         name = fault.choose(sorted(self.plane.nodes))
         self.plane.hang(name)
         gevent.sleep(fault.seconds)
@@ -72,25 +72,25 @@
         return name
 
     def restart_all_but_one(self, fault: Fault) -> str:
-        """All control nodes but one are killed at once and started again."""
-        spared = fault.choose(sorted(self.plane.nodes))
-        others = [name for name in self.plane.nodes if name != spared]
+        """Kill all control nodes but one and start them again at once."""
+        survivor = fault.choose(sorted(self.plane.nodes))
+        others = [name for name in self.plane.nodes if name != survivor]
         for name in others:
             self.plane.kill(name)
         for name in others:
             self.plane.start(name)
         gevent.sleep(fault.seconds)
-        return f"all but {spared}"
+        return f"all but {survivor}"
 
     def cut_zone(self, fault: Fault) -> str:
-        """One front in eleven is cut off."""
+        """Cut off one front in eleven, which is the share of one zone."""
         names = sorted(self.population.current)
         count = max(1, round(len(names) * ZONE_SHARE))
-        first = int(fault.draw * (len(names) - count))
+        first = int(fault.random_fraction * (len(names) - count))
         return self._cut(names[first : first + count], fault.seconds)
 
     def cut_region(self, fault: Fault) -> str:
-        """All lightweight fronts of a region are cut off."""
+        """Cut off all lightweight fronts of a region."""
         region = fault.choose(list(REGIONS))
         names = [name for name in self.population.current if self.population.region_of[name] == region]
         return f"{region}: {self._cut(names, fault.seconds)}"
@@ -102,28 +102,28 @@
         return f"{len(names)} fronts"
 
     def restart_fronts(self, fault: Fault) -> str:
-        """Seven in ten lightweight fronts are restarted at once; by the draw, gracefully or not."""
+        """Restart seven in ten lightweight fronts at once; the random fraction decides whether gracefully."""
         names = sorted(self.population.current)
         names = names[: round(len(names) * RESTARTED_SHARE)]
-        graceful = fault.draw < 0.5
+        graceful = fault.random_fraction < 0.5
         self.population.stop(names, graceful)
-        gevent.sleep(RESTART_GAP)
+        gevent.sleep(RESTART_DELAY_S)
         by_region: dict[str, list[str]] = {}
         for name in names:
             by_region.setdefault(self.population.region_of[name], []).append(name)
         self.population.start(by_region, EMPTY_DIRECTORY, self.listed)
-        return f"{len(names)} fronts{', as planned' if graceful else ''}"
+        return f"{len(names)} fronts{', gracefully' if graceful else ''}"
 
     def slow_readers(self, fault: Fault) -> str:
-        """Connections to every node that never read, or that stop amid a line."""
+        """Open connections to every running node that never read, half of them with an incomplete line."""
         nodes = [node for name, node in self.plane.nodes.items() if name not in self.plane.down]
-        readers = SlowReaders(nodes, SLOW_READERS_EACH)
+        readers = SlowReaders(nodes, SLOW_READERS_PER_NODE)
         gevent.sleep(fault.seconds)
         readers.close()
         return f"{len(readers.sockets)} connections"
 
-    def half_line(self, fault: Fault) -> str:
-        """A discovery service sends half a line and closes all connections."""
+    def send_partial_line(self, fault: Fault) -> str:
+        """Have a discovery service send a partial line and close all connections."""
         region = fault.choose(list(REGIONS))
         self.discovery.execute(SendPartialLine(region))
         gevent.sleep(fault.seconds)
@@ -132,17 +132,20 @@
     def restart_numbering(self, fault: Fault) -> str:
         """Restart the numbering of a discovery service.
 
-        Nothing is purged in that moment, as the stand-in would forget it.
+        No purge is issued meanwhile, as the stand-in drops its events and would lose the purge.
         """
         region, rate = fault.choose(list(REGIONS)), self.issuer.rate
         self.issuer.rate = 0
-        gevent.sleep(PAUSE)
+        gevent.sleep(PURGE_PAUSE_S)
         self.discovery.execute(RestartNumbering(region))
-        gevent.sleep(PAUSE)
+        gevent.sleep(PURGE_PAUSE_S)
         self.issuer.rate = rate
         gevent.sleep(fault.seconds)
         return region
 
-    def configure(self, fault: Fault) -> str:
-        """Configuration versions, one of which some fronts refuse; real fronts list other peers."""
-        return self.configuring.play(fault.choose([one for one in REGIONS if one != REAL_REGION]))
+    def reject_configuration(self, fault: Fault) -> str:
+        """Propose configuration versions, one of which some fronts reject.
+
+        The region of the real fronts is excluded, as its fronts have other peers.
+        """
+        return self.proposer.propose_versions(fault.choose([one for one in REGIONS if one != REAL_REGION]))
--- a/benchmarks/scale/faults.py
+++ b/benchmarks/scale/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a scale run, drawn from the seed; no I/O. `fault_runner.py` carries them out."""
+"""The faults that a scale run injects, chosen by its seed; no I/O. `fault_runner.py` injects them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class FaultKind(Enum):
-    """What goes wrong."""
+    """A kind of fault. Names are for the command line; values describe the fault in the output."""
 
     KILL_NODE = "kill a control node"
     HANG_NODE = "hang a control node"
@@ -16,15 +16,15 @@
     CUT_ZONE = "cut a zone of fronts"
     CUT_REGION = "cut a region of fronts"
     RESTART_FRONTS = "restart seven in ten fronts at once"
-    SLOW_READERS = "slow readers and half lines to control nodes"
-    HALF_LINE = "half a line from a discovery service"
-    DISCOVERY_ANEW = "a discovery service begins anew with lower numbers"
-    REFUSED_CONFIGURATION = "a configuration that some fronts refuse"
+    SLOW_READERS = "slow readers and partial lines at control nodes"
+    HALF_LINE = "a partial line from a discovery service"
+    DISCOVERY_ANEW = "a discovery service restarts its event numbers"
+    REFUSED_CONFIGURATION = "a configuration that some fronts reject"
 
 
-ALWAYS = (FaultKind.KILL_NODE, FaultKind.HANG_NODE)
-QUICK_EXTRA = 2  # faults that a quick run draws beside those of `ALWAYS`
-SECONDS = {
+ALWAYS_IN_QUICK_RUN = (FaultKind.KILL_NODE, FaultKind.HANG_NODE)
+QUICK_EXTRA = 2  # faults of a quick run in addition to `ALWAYS_IN_QUICK_RUN`
+DURATION_S = {  # how long the fault itself lasts
     FaultKind.KILL_NODE: 3.0,
     FaultKind.HANG_NODE: 3.0,
     FaultKind.RESTART_ALL_BUT_ONE: 4.0,
@@ -36,39 +36,47 @@
     FaultKind.DISCOVERY_ANEW: 3.0,
     FaultKind.REFUSED_CONFIGURATION: 5.0,
 }
-OVERHEAD = dict.fromkeys(FaultKind, 1.5) | {
-    FaultKind.RESTART_FRONTS: 6.0
-}  # seconds beside, on a busy machine
-RESTARTED_SHARE = 0.7
-ZONE_SHARE = 1 / 11  # of the fronts, that stand in one zone
+# Seconds for starting and ending the fault on a busy machine, in addition to its duration.
+OVERHEAD_S = dict.fromkeys(FaultKind, 1.5) | {FaultKind.RESTART_FRONTS: 6.0}
+RESTARTED_SHARE = 0.7  # share of all fronts that are restarted at once
+ZONE_SHARE = 1 / 11  # share of all fronts that are in one zone
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: it lasts `seconds`; `draw` (0 to 1) chooses whom it hits."""
+    """One fault to inject.
+
+    Attributes:
+        kind: The kind of fault.
+        seconds: How long it lasts.
+        random_fraction: A random number from 0 to 1 that selects the target.
+    """
 
     kind: FaultKind
     seconds: float
-    draw: float
+    random_fraction: float
 
     @property
-    def takes(self) -> float:
-        """Seconds that it takes with all that belongs to it."""
-        return self.seconds + OVERHEAD[self.kind]
+    def total_seconds(self) -> float:
+        """Seconds that the fault takes with its overhead."""
+        return self.seconds + OVERHEAD_S[self.kind]
 
     def choose(self, names: list[str]) -> str:
-        """The one that it hits."""
-        return names[int(self.draw * len(names))]
-
-
-def plan(seed: int, quick: bool, available: frozenset[FaultKind]) -> list[Fault]:
-    """The faults in their order; a quick run has those of `ALWAYS` first and a few others after them."""
-    draws = random.Random(seed)
-    usual = [kind for kind in ALWAYS if kind in available]
-    others = [kind for kind in FaultKind if kind in available and kind not in ALWAYS]
-    draws.shuffle(usual)
-    draws.shuffle(others)
-    kinds = usual + (others[:QUICK_EXTRA] if quick else others)
+        """Return the name that is the target of the fault."""
+        return names[int(self.random_fraction * len(names))]
+
+
+def plan_faults(seed: int, quick: bool, available: frozenset[FaultKind]) -> list[Fault]:
+    """Return the available faults in a random order.
+
+    A quick run has those of `ALWAYS_IN_QUICK_RUN` first and only `QUICK_EXTRA` others after them.
+    """
+    generator = random.Random(seed)
+    always = [kind for kind in ALWAYS_IN_QUICK_RUN if kind in available]
+    others = [kind for kind in FaultKind if kind in available and kind not in ALWAYS_IN_QUICK_RUN]
+    generator.shuffle(always)
+    generator.shuffle(others)
+    kinds = always + (others[:QUICK_EXTRA] if quick else others)
     if not quick:
-        draws.shuffle(kinds)
-    return [Fault(kind, SECONDS[kind], draws.random()) for kind in kinds]
+        generator.shuffle(kinds)
+    return [Fault(kind, DURATION_S[kind], generator.random()) for kind in kinds]
--- a/benchmarks/scale/fits.py
+++ b/benchmarks/scale/fits.py
@@ -1,4 +1,4 @@
-"""Linear fits of measured points by least squares, with their standard errors; no I/O."""
+"""Least-squares linear fits of measured points, with standard errors; no I/O."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class UnderdeterminedError(Exception):
-    """There are too few points, or they do not differ in every variable."""
+    """Too few points, or variables that do not vary independently."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fit:
-    """A linear function and how well it holds.
+    """A fitted linear function and its errors.
 
     Attributes:
-        intercept: Its value where all variables are 0.
-        slopes: By variable.
+        intercept: Value of the function where all variables are 0.
+        slopes: Slope by variable.
         error: Standard error of the residuals, in the unit of the quantity.
-        standard_errors: By variable, and of `intercept`.
-        points: How many points it was fitted to.
+        standard_errors: Standard error of the slope by variable, and of `intercept`.
+        points: Number of points that the function was fitted to.
     """
 
     intercept: float
@@ -31,21 +31,21 @@
     points: int
 
     def value(self, at: Mapping[str, float]) -> float:
-        """Its value at a setting."""
+        """Return the value of the function at the given values of the variables."""
         return self.intercept + sum(slope * at[name] for name, slope in self.slopes.items())
 
 
 def fit(variables: Sequence[str], settings: Sequence[Mapping[str, float]], values: Sequence[float]) -> Fit:
-    """Fit `values` to the variables. Raises `UnderdeterminedError`."""
+    """Fit `values` as a linear function of the variables. Raises `UnderdeterminedError`."""
     names = ["intercept", *variables]
     matrix = np.array([[1.0, *(float(one[name]) for name in variables)] for one in settings])
-    freedom = len(values) - len(names)
-    if freedom < 1 or np.linalg.matrix_rank(matrix) < len(names):
+    degrees_of_freedom = len(values) - len(names)
+    if degrees_of_freedom < 1 or np.linalg.matrix_rank(matrix) < len(names):
         raise UnderdeterminedError(f"{len(values)} points do not determine {', '.join(names)}")
     observed = np.array(values, dtype=float)
     solution, *_ = np.linalg.lstsq(matrix, observed, rcond=None)
     residuals = observed - matrix @ solution
-    variance = float(residuals @ residuals) / freedom
+    variance = float(residuals @ residuals) / degrees_of_freedom
     covariance = variance * np.linalg.inv(matrix.T @ matrix)
     errors = np.sqrt(np.clip(np.diag(covariance), 0, None))
     return Fit(
--- a/benchmarks/scale/front_sockets.py
+++ b/benchmarks/scale/front_sockets.py
@@ -1,7 +1,7 @@
-"""Sockets that know which lightweight front opened them: it can be cut off, and its bytes are counted.
+"""Sockets that belong to one lightweight front, so that it can be cut off and its bytes can be counted.
 
-A host runs many fronts in one process. Their watch clients get a socket class that finds its owner in
-the locals of the spawn tree, which greenlets inherit from who spawned them.
+A host runs many fronts in one process. Their watch clients use a socket class that finds its owner in the
+spawn tree locals, which a greenlet inherits from the greenlet that spawned it.
 """
 
 from __future__ import annotations
@@ -21,52 +21,52 @@
 else:
     from gevent.socket import socket as gevent_socket
 
-OWNER = "owner of sockets"  # key in the locals of a spawn tree
+OWNER_KEY = "owner of sockets"  # key in the spawn tree locals
 
 
 class FrontSockets:
     """The sockets of one front.
 
     Attributes:
-        open: Those that are not closed.
-        received: Bytes of payload on sockets that were closed.
-        sent: The same in the other direction.
-        refusing: No socket connects while it is true.
+        open: The open sockets.
+        received: Bytes of payload received on sockets that were closed.
+        sent: Bytes of payload sent on sockets that were closed.
+        is_cut_off: Whether every attempt to connect fails.
     """
 
     def __init__(self) -> None:
         self.open: set[OwnedSocket] = set()
         self.received, self.sent = 0, 0
-        self.refusing = False
+        self.is_cut_off = False
 
-    def own(self) -> None:
-        """Make this the owner of all sockets that the present greenlet and those it spawns open."""
-        gevent.getcurrent().spawn_tree_locals = {OWNER: self}
+    def own_current_greenlet(self) -> None:
+        """Own all sockets opened by the current greenlet and by greenlets that it spawns."""
+        gevent.getcurrent().spawn_tree_locals = {OWNER_KEY: self}
 
     def totals(self) -> tuple[int, int]:
-        """Bytes of payload received and sent so far."""
+        """Return the bytes of payload received and sent so far."""
         received, sent = self.received, self.sent
         for sock in self.open:
-            more_received, more_sent = _bytes_of(sock)
+            more_received, more_sent = _payload_bytes(sock)
             received += more_received
             sent += more_sent
         return received, sent
 
     def cut(self) -> None:
         """Close all connections and refuse new ones."""
-        self.refusing = True
+        self.is_cut_off = True
         for sock in list(self.open):
             sock.close()
 
     def heal(self) -> None:
-        """Let new connections through."""
-        self.refusing = False
+        """Allow new connections."""
+        self.is_cut_off = False
 
-    def closing(self, sock: OwnedSocket) -> None:
-        """Take in the bytes of a socket that is about to be closed."""
+    def record_closed(self, sock: OwnedSocket) -> None:
+        """Remove a socket that is about to be closed, and add up its bytes."""
         if sock in self.open:
             self.open.discard(sock)
-            received, sent = _bytes_of(sock)
+            received, sent = _payload_bytes(sock)
             self.received += received
             self.sent += sent
 
@@ -76,25 +76,25 @@
 
     def __init__(self, family: int, kind: int) -> None:
         super().__init__(family, kind)
-        self.owner = _present_owner()
+        self.owner = _current_owner()
         if self.owner:
             self.owner.open.add(self)
 
     def connect(self, address: tuple[object, ...] | str | ReadableBuffer) -> None:
         """Connect. Raises `ConnectionRefusedError` while the front is cut off."""
-        if self.owner and self.owner.refusing:
+        if self.owner and self.owner.is_cut_off:
             raise ConnectionRefusedError("the front is cut off")
         super().connect(address)
 
     def close(self) -> None:
-        """Close it."""
+        """Close the socket and add its bytes to those of its owner."""
         if self.owner:
-            self.owner.closing(self)
+            self.owner.record_closed(self)
         super().close()
 
 
 class OwnedSocketModule(ModuleType):
-    """Stands in for `gevent.socket` in a module whose sockets are to have an owner."""
+    """Replaces `gevent.socket` in a module whose sockets need an owner."""
 
     socket = OwnedSocket
 
@@ -103,17 +103,17 @@
 
 
 def install(*modules: ModuleType) -> None:
-    """Give these modules the sockets with an owner."""
+    """Make these modules create owned sockets."""
     for module in modules:
         vars(module)["socket"] = OwnedSocketModule("owned_sockets")
 
 
-def _present_owner() -> FrontSockets | None:
-    owner: FrontSockets | None = getattr(gevent.getcurrent(), "spawn_tree_locals", {}).get(OWNER)
+def _current_owner() -> FrontSockets | None:
+    owner: FrontSockets | None = getattr(gevent.getcurrent(), "spawn_tree_locals", {}).get(OWNER_KEY)
     return owner
 
 
-def _bytes_of(sock: OwnedSocket) -> tuple[int, int]:
+def _payload_bytes(sock: OwnedSocket) -> tuple[int, int]:
     try:
         return tcp_bytes(sock)
     except OSError:
--- a/benchmarks/scale/lightweight_front.py
+++ b/benchmarks/scale/lightweight_front.py
@@ -1,7 +1,7 @@
-"""A lightweight front: the control code of a real front over real sockets, without requests.
+"""A lightweight front: the control code of a real front on real sockets, without request traffic.
 
-The watch client, the purge history, the local cache and the policy with a full directory are those of
-`marbleglade`; connections to caches and clients are left out.
+It uses the watch client, purge history, local cache and policy (with a filled directory) of `marbleglade`.
+It has no connections to caches and clients.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from benchmarks.no_upstreams import NoUpstreams
 from benchmarks.scale.messages.fronts import AppliedPurge, CachedVersion
-from benchmarks.scale.topology import peers_before
+from benchmarks.scale.topology import peers_up_to
 from benchmarks.scale.workload import CACHED_AGE_MS, HOT_OBJECTS, directory_key, group_of
 from marbleglade.discovery_events import DiscoveryEvents
 from marbleglade.model.parameters import Parameters
@@ -34,19 +34,19 @@
 from marbleglade.state.upstream_registry import UpstreamRegistry
 from marbleglade.testing.front_settings import front_settings
 
-MILLISECOND = 1_000_000  # nanoseconds
+MILLISECOND_NS = 1_000_000  # nanoseconds
 LOCAL_CACHE_BYTES = 1 << 20
-ENTRIES_PER_PAUSE = 256  # that are entered into a directory before other greenlets run
+ENTRIES_PER_YIELD = 256  # added to a directory before other greenlets run
 COPY_BODY = b"x" * 64  # one body for all cached objects
 DIRECTORY_CACHES = [Upstream(b"entry%d" % number) for number in range(78)]
-FLOW_BYTES_PER_S = 1_000_000  # bytes a second; above 0, so that the local cache is used
+FLOW_BYTES_PER_S = 1_000_000  # any rate above 0 enables the local cache
 
 
 class RecordingEvents(DiscoveryEvents):
-    """A front's events; records when a purge was applied for the first time.
+    """Applies the events of a front and records when each purge was first applied.
 
     Attributes:
-        applied: The purges recorded since the last `drain`.
+        applied: Purges recorded since the last call of `take_applied`.
     """
 
     def __init__(self, name: str, start_ms: int, parts: HandlerComponents) -> None:
@@ -63,7 +63,7 @@
         self.applied: list[AppliedPurge] = []
 
     def apply_and_publish(self, event: EndpointListChange | Purge) -> None:
-        """Apply an event as every front does."""
+        """Apply an event like a real front; record a purge that is new."""
         super().apply_and_publish(event)
         if not isinstance(event, Purge):
             return
@@ -73,17 +73,17 @@
             applied_us = time.time_ns() // 1000
             self.applied.append(AppliedPurge(self.name, self.start_ms, *identity, applied_us))
 
-    def drain(self) -> list[AppliedPurge]:
-        """The purges applied since the last call."""
+    def take_applied(self) -> list[AppliedPurge]:
+        """Return the purges recorded since the last call, and clear the record."""
         applied, self.applied = self.applied, []
         return applied
 
 
 class FixedPeers:
-    """The list of peers of a lightweight front, to whom it sends nothing; a configuration can change it.
+    """The peer list of a lightweight front, which a configuration can replace; no peer messages are sent.
 
     Args:
-        addresses: The addresses of its peers, its own the last.
+        addresses: Addresses of the front's peers; the last one is its own.
     """
 
     def __init__(self, addresses: list[tuple[str, int]]) -> None:
@@ -91,28 +91,28 @@
         self.broadcast_address: tuple[str, int] | None = None
 
     def replace_peers(self, peers: list[tuple[str, int]], broadcast_address: tuple[str, int] | None) -> None:
-        """Use another list of peers."""
+        """Replace the list of peers."""
         self.addresses, self.broadcast_address = peers, broadcast_address
 
 
 def shared_settings() -> Environment:
-    """The settings that all fronts of a host share."""
+    """Return the settings that all fronts of a host share."""
     return read_environment(front_settings(1), 1, 1.0)
 
 
 class LightweightFront:
-    """One start of one front, with the parts that a client of the control plane needs.
+    """One incarnation of a front, with the components that a client of the control plane needs.
 
     Attributes:
-        name: Its name.
+        name: Name of the front.
         start_ms: Unix milliseconds of this start.
-        policy: Its policy, whose directory is filled.
-        handler: Applies the events of its watch client.
-        events: The same events, recorded.
+        policy: The policy, whose directory is filled.
+        handler: Request handler that holds `events`.
+        events: Applies the events of the watch client and records purges.
     """
 
     def __init__(self, name: str, environment: Environment, sink: int) -> None:
-        self.name, self.start_ms = name, time.time_ns() // MILLISECOND
+        self.name, self.start_ms = name, time.time_ns() // MILLISECOND_NS
         self.counters = Counters()
         self.guard = ErrorGuard(self.counters, Log(name, self.counters, sink=sink))
         self.upstreams = UpstreamRegistry(environment, clock.from_unix_ms)
@@ -126,7 +126,7 @@
             self.counters,
             lambda _action: None,
         )
-        self.peers = FixedPeers([parse_address(peer) for peer in peers_before(name)]) if "-" in name else None
+        self.peers = FixedPeers([parse_address(peer) for peer in peers_up_to(name)]) if "-" in name else None
         parts = HandlerComponents(
             self.driver,
             NoUpstreams(),
@@ -144,35 +144,35 @@
         return self.policy
 
     def fill_directory(self, entries: int) -> None:
-        """Enter objects into the directory as responses of caches would, before the front is connected.
+        """Add objects to the directory, as responses of caches would, before the front is connected.
 
-        It is no work of a front, so the other greenlets of the process run in between.
+        A real front does not do this work, so it yields to the other greenlets of the process in between.
         """
         directory, now = self.policy.directory, clock.now()
         for number in range(entries):
-            if not number % ENTRIES_PER_PAUSE:
+            if not number % ENTRIES_PER_YIELD:
                 gevent.sleep(0)
             object_id = directory_key(number)
             cache = DIRECTORY_CACHES[number % len(DIRECTORY_CACHES)]
             directory.add(object_id, 0, group_of(object_id), cache, now)
 
     def refresh_cache(self) -> None:
-        """Cache the hot objects as responses would bring them, sent by the origin a little while ago.
+        """Cache the hot objects as responses would, with versions issued `CACHED_AGE_MS` ago.
 
-        One that a purge has overtaken meanwhile is refused.
+        The local cache rejects a version that a newer purge covers.
         """
-        issued = clock.now() - CACHED_AGE_MS * MILLISECOND
+        issued = clock.now() - CACHED_AGE_MS * MILLISECOND_NS
         for object_id in HOT_OBJECTS:
             group = group_of(object_id)
             copy = CachedObject(COPY_BODY, "", issued, group)
             self.local_cache.put(object_id, 0, copy, self.purges.latest(object_id, group))
 
     def cached_versions(self) -> Iterator[CachedVersion]:
-        """Return the versions in its local cache."""
+        """Return the versions in the local cache."""
         for (object_id, _), copy in self.local_cache.objects.items():
             yield CachedVersion(self.name, object_id, copy.group, clock.to_unix_ms(copy.issued_at))
 
 
-def discard() -> int:
-    """Open a file descriptor that discards the fronts' log lines."""
+def open_log_sink() -> int:
+    """Open a file descriptor that discards the log lines of the fronts."""
     return os.open(os.devnull, os.O_WRONLY)
--- a/benchmarks/scale/lightweight_host.py
+++ b/benchmarks/scale/lightweight_host.py
@@ -1,4 +1,4 @@
-"""Worker process: many lightweight fronts, each with its own connections."""
+"""Worker process that runs many lightweight fronts, each with its own connections."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import gevent
 
 from benchmarks.scale.front_sockets import FrontSockets, install
-from benchmarks.scale.lightweight_front import LightweightFront, discard, shared_settings
+from benchmarks.scale.lightweight_front import LightweightFront, open_log_sink, shared_settings
 from benchmarks.scale.messages.common import Collect, Ready
 from benchmarks.scale.messages.fronts import (
     AppliedPurge,
@@ -35,13 +35,13 @@
 from marbleglade.transport.discovery_watch import WatchClient
 from marbleglade.transport.event_sequence import WatchCallbacks
 
-TIMER_INTERVAL_S = 0.05  # of the timer whose lateness is measured
-REFRESH_INTERVAL_S = 1.0  # between two fills of the local caches
-FAULT_PREFIXES = ("exception.", "violated_invariant.")  # counters of what must not happen
+TIMER_INTERVAL_S = 0.05  # interval of the timer whose lateness is measured
+REFRESH_INTERVAL_S = 1.0  # between two refreshes of the local caches
+FAULT_PREFIXES = ("exception.", "violated_invariant.")  # counters of errors that must not occur
 
 
 class RunningFront:
-    """A lightweight front with its watch client and the sockets of that."""
+    """A lightweight front with its watch client, its optional control client, and their sockets."""
 
     def __init__(
         self, front: LightweightFront, command: StartFronts, control: ControlSettings | None
@@ -49,14 +49,14 @@
         self.front = front
         self.sockets = FrontSockets()
         self.control: ControlClient | None = None
-        follower = WatchClient(
+        watch_client = WatchClient(
             parse_address(command.discovery),
             0,
             WatchCallbacks(self._handle_discovery_event, self._handle_discovery_heartbeat),
             front.guard,
             accept_index_restart=True,
         )
-        runs = [follower.run]
+        runs = [watch_client.run]
         if control:
             self.control = make_client(
                 control,
@@ -65,14 +65,14 @@
                     known_events=(),
                     handler=front.handler,
                     driver=front.driver,
-                    discovery_watch=follower,
+                    discovery_watch=watch_client,
                     peers=front.peers,
                     maintenance=None,
                     guard=front.guard,
                 ),
             )
             runs.append(self.control.run)
-        self.greenlets = [gevent.spawn(self._owned, run) for run in runs]
+        self.greenlets = [gevent.spawn(self._run_as_owner, run) for run in runs]
 
     def _handle_discovery_event(self, event: EndpointListChange | Purge) -> None:
         if self.control:
@@ -84,20 +84,20 @@
         if self.control and complete:
             self.control.handle_discovery_caught_up()
 
-    def _owned(self, run: Callable[[], None]) -> None:
-        self.sockets.own()
+    def _run_as_owner(self, run: Callable[[], None]) -> None:
+        self.sockets.own_current_greenlet()
         self.front.guard.call("front", run)
 
     def state(self) -> FrontState:
-        """Its start, the caches that it knows, its configuration version."""
+        """Return the front's start time, its number of caches and its configuration version."""
         caches = len(self.front.upstreams.by_id)
         version = self.control.status()["version"] if self.control else 0
         if not isinstance(version, int):
-            raise TypeError(f"no configuration version: {version!r}")
+            raise TypeError(f"the configuration version in the status is not an integer: {version!r}")
         return FrontState(self.front.name, self.front.start_ms, caches, version)
 
     def stop(self, graceful: bool) -> None:
-        """End it; `graceful`: announce it to the control nodes first."""
+        """Stop the front; if `graceful`, it leaves the control plane first."""
         if graceful and self.control:
             self.control.leave()
         gevent.killall(self.greenlets, block=False)
@@ -105,32 +105,32 @@
 
 
 class LightweightHost:
-    """Carries out the scale run's commands at the fronts of this process."""
+    """Executes the scale run's commands on the fronts of this process."""
 
     def __init__(self) -> None:
-        self.environment, self.sink = shared_settings(), discard()
+        self.environment, self.sink = shared_settings(), open_log_sink()
         self.fronts: dict[str, RunningFront] = {}
-        self.applied_by_stopped: list[AppliedPurge] = []
+        self.applied_by_stopped_fronts: list[AppliedPurge] = []
         self.faults: Counter[str] = Counter()
         self.late_s = 0.0
-        gevent.spawn(self._refresh)
-        gevent.spawn(self._watch_lateness)
+        gevent.spawn(self._refresh_caches)
+        gevent.spawn(self._measure_timer_lateness)
 
-    def _refresh(self) -> None:
+    def _refresh_caches(self) -> None:
         while True:
             gevent.sleep(REFRESH_INTERVAL_S)
             for running in list(self.fronts.values()):
                 running.front.refresh_cache()
                 gevent.sleep(0)
 
-    def _watch_lateness(self) -> None:
+    def _measure_timer_lateness(self) -> None:
         while True:
             began = time.monotonic()
             gevent.sleep(TIMER_INTERVAL_S)
             self.late_s = max(self.late_s, time.monotonic() - began - TIMER_INTERVAL_S)
 
     def handle(self, command: object) -> object | None:
-        """Carry out one command; return the reply."""
+        """Execute one command; return the reply, or None if it has no result."""
         match command:
             case StartFronts():
                 self.start(command)
@@ -150,7 +150,7 @@
         return None
 
     def start(self, command: StartFronts) -> None:
-        """Start fronts."""
+        """Start the fronts of a command, one after the other."""
         control = read_settings(command.control, command.names[0]) if command.control else None
         for name in command.names:
             front = LightweightFront(name, self.environment, self.sink)
@@ -160,25 +160,25 @@
             gevent.sleep(0)
 
     def stop(self, name: str, graceful: bool) -> None:
-        """End a front; what it applied is reported with the next report."""
+        """Stop a front; the next report includes the purges that it applied."""
         running = self.fronts.pop(name)
         running.stop(graceful)
-        self.applied_by_stopped += running.front.events.drain()
+        self.applied_by_stopped_fronts += running.front.events.take_applied()
         self._record_faults(running)
 
     def _record_faults(self, running: RunningFront) -> None:
         counts = running.front.counters.counts
-        for name in [one for one in counts if one.startswith(FAULT_PREFIXES)]:
+        for name in [counter for counter in counts if counter.startswith(FAULT_PREFIXES)]:
             self.faults[name] += counts.pop(name)
 
     def report(self, with_cached_versions: bool) -> HostReport:
-        """Return what happened since the last report."""
-        applied, self.applied_by_stopped = self.applied_by_stopped, []
+        """Return the applied purges since the last report, and the current state and counters."""
+        applied, self.applied_by_stopped_fronts = self.applied_by_stopped_fronts, []
         traffic: list[FrontTraffic] = []
         states: list[FrontState] = []
         cached: list[CachedVersion] = []
         for name, running in self.fronts.items():
-            applied += running.front.events.drain()
+            applied += running.front.events.take_applied()
             traffic.append(FrontTraffic(name, *running.sockets.totals()))
             states.append(running.state())
             self._record_faults(running)
--- a/benchmarks/scale/measurement_file.py
+++ b/benchmarks/scale/measurement_file.py
@@ -1,4 +1,4 @@
-"""The measurement file: its content as typed values, and how it is written."""
+"""The content of the measurement file as typed values, and how it is written."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from .points import Point
 from .slopes import Slope
 
-LOADS = Path("/proc/loadavg")
+LOADAVG_PATH = Path("/proc/loadavg")
 
 
 @dataclass(slots=True)
 class Budget:
-    """One budget and the figure against it; `measured` and `kept` are None where nothing was measured."""
+    """A budget and its measured figure; `measured` and `kept` are None where nothing was measured."""
 
     name: str
     limit: float
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Measurement:
-    """Everything that one run recorded; the fields are described in `benchmarks/measurements/README.md`."""
+    """All results of one run; `benchmarks/measurements/README.md` describes the fields."""
 
     taken: str
     machine: str
@@ -47,27 +47,27 @@
     budgets: list[Budget] = field(default_factory=list)
 
     def write(self, path: Path) -> None:
-        """Write it as JSON."""
+        """Write the measurement as JSON."""
         path.write_bytes(orjson.dumps(asdict(self), option=orjson.OPT_INDENT_2) + b"\n")
 
 
-def begin(seed: int, command: str) -> Measurement:
-    """A measurement that begins now, on this machine and this tree."""
+def start_measurement(seed: int, command: str) -> Measurement:
+    """Create an empty measurement with the date, this machine, its load and the commit."""
     load, cores = load_average(), os.cpu_count() or 1
     gigabytes = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") / 1e9
     machine = f"{cores} cores, {gigabytes:.0f} GB, loopback"
     return Measurement(
-        time.strftime("%Y-%m-%d"), machine, load > cores / 8, load, load, commit(), seed, command
+        time.strftime("%Y-%m-%d"), machine, load > cores / 8, load, load, current_commit(), seed, command
     )
 
 
 def load_average() -> float:
-    """Load average of a minute."""
-    return float(LOADS.read_text().split()[0])
+    """Return the load average of the last minute."""
+    return float(LOADAVG_PATH.read_text().split()[0])
 
 
-def commit() -> str:
-    """The commit that is measured."""
+def current_commit() -> str:
+    """Return the commit of the working tree, or "unknown" without git."""
     try:
         return subprocess.run(
             ["git", "describe", "--always", "--dirty"], capture_output=True, text=True, check=True, timeout=10
--- a/benchmarks/scale/messages/codec.py
+++ b/benchmarks/scale/messages/codec.py
@@ -1,4 +1,4 @@
-"""The lines between the scale run and its workers: the kind of a message, and its fields."""
+"""Encodes messages between the scale run and its workers as lines: [message type, object of fields]."""
 
 from __future__ import annotations
 
@@ -23,27 +23,27 @@
         "cached_versions": fronts.CachedVersion,
     },
     status.StatusReport.__name__: {"confirmed": status.ConfirmedPurge},
-}  # fields that hold many records, sent as lists of values
+}  # fields that hold many records; each record is sent as a list of its values
 
 
 def encode(message: Any) -> bytes:
-    """Return the line of a message."""
+    """Return a message as a line."""
     kind = type(message).__name__
     records = RECORD_FIELDS.get(kind, {})
     content = {
         name: list(map(astuple, value)) if name in records else value
-        for name, value in ((each.name, getattr(message, each.name)) for each in fields(message))
+        for name, value in ((field.name, getattr(message, field.name)) for field in fields(message))
     }
     line: bytes = orjson.dumps([kind, content]) + b"\n"
     return line
 
 
 def decode(line: bytes) -> object:
-    """Return the message of a line.
+    """Return the message that a line contains.
 
     Raises:
-        ValueError: The line is no JSON.
-        KeyError: There is no such kind of message.
+        ValueError: The line is not JSON.
+        KeyError: The message type is unknown.
     """
     kind, content = orjson.loads(line)
     for name, record in RECORD_FIELDS.get(kind, {}).items():
--- a/benchmarks/scale/messages/common.py
+++ b/benchmarks/scale/messages/common.py
@@ -1,4 +1,4 @@
-"""What all workers are sent or reply."""
+"""Commands and replies that several workers use."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @dataclass(slots=True)
 class Ready:
-    """The worker runs.
+    """First message of a worker, sent once it is ready for commands.
 
     Attributes:
-        addresses: Where it listens, as "host:port" by name.
-        servers: The caches, parents and origin that it runs.
+        addresses: Addresses that the worker listens on, as "host:port" by name.
+        servers: Caches, parents and origin that the worker runs.
     """
 
     addresses: dict[str, str] = field(default_factory=dict)
@@ -22,18 +22,18 @@
 
 @dataclass(slots=True)
 class Failed:
-    """The worker could not carry out the command."""
+    """The worker could not execute the command."""
 
     reason: str
 
 
 @dataclass(slots=True)
 class Done:
-    """The command was carried out."""
+    """The worker executed a command that has no result."""
 
 
 @dataclass(slots=True)
 class Collect:
-    """Ask a host for all that came since the last time, and on request for the fronts' cached versions."""
+    """Requests a report on the time since the last one, optionally with the fronts' cached versions."""
 
     with_cached_versions: bool = False
--- a/benchmarks/scale/messages/discovery.py
+++ b/benchmarks/scale/messages/discovery.py
@@ -1,4 +1,4 @@
-"""Commands for the host of the discovery services, and its report."""
+"""Commands for the worker with the discovery services, and its report."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class PublishPurge:
-    """A purge that every discovery service publishes."""
+    """Publishes a purge at every discovery service."""
 
     object: int
     group: int
@@ -18,19 +18,19 @@
 
 @dataclass(slots=True)
 class PublishCaches:
-    """A complete list of caches, parents and origins."""
+    """Publishes a complete list of caches, parents and origins at every discovery service."""
 
     servers: list[ServerEntry]
 
 
 @dataclass(slots=True)
 class SilenceFollowers:
-    """One follower in so many is sent nothing more on its connection, though it stays open; 0: none.
+    """Has a discovery service send nothing more to some followers, while their connections stay open.
 
     Attributes:
-        region: The discovery service.
-        one_in: Which share of the connections.
-        reconnections: So many of the next connections are silent too.
+        region: Region of the discovery service.
+        one_in: One in so many connections becomes silent; 0: none.
+        reconnections: Number of following new connections that are silent too.
     """
 
     region: str
@@ -40,26 +40,26 @@
 
 @dataclass(slots=True)
 class SendPartialLine:
-    """The discovery service sends half a line on each connection and closes it."""
+    """Has a discovery service send a partial line on each connection and close it."""
 
     region: str
 
 
 @dataclass(slots=True)
 class RestartNumbering:
-    """The discovery service restarts: numbers from 1, connections closed, the last list published again."""
+    """Has a discovery service close all connections, number events from 1 again and republish its list."""
 
     region: str
 
 
 @dataclass(slots=True)
 class QueryService:
-    """Asks a discovery host for its figures."""
+    """Requests a `ServiceReport`."""
 
 
 @dataclass(slots=True)
 class ServiceReport:
-    """What a discovery host spent; bytes are those sent to followers."""
+    """Resource use of the worker with the discovery services; `bytes_out` counts bytes to followers."""
 
     cpu_s: float
     memory_bytes: int
--- a/benchmarks/scale/messages/fronts.py
+++ b/benchmarks/scale/messages/fronts.py
@@ -1,4 +1,4 @@
-"""Commands for hosts of lightweight fronts, and their reports."""
+"""Commands for workers with lightweight fronts, and their reports."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass(slots=True)
 class StartFronts:
-    """Lightweight fronts to start.
+    """Starts lightweight fronts.
 
     Attributes:
-        names: Their names.
+        names: Names of the fronts.
         discovery: Address of the discovery service, as "host:port".
         control: Path of the control plane's settings; empty: the fronts watch the discovery service.
-        directory_entries: Entries that each front's directory is filled with.
+        directory_entries: Number of entries that each front's directory is filled with.
     """
 
     names: list[str]
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class StopFronts:
-    """Lightweight fronts to end; `graceful`: they announce it to the control nodes first."""
+    """Stops lightweight fronts; if `graceful`, they leave the control plane first."""
 
     names: list[str]
     graceful: bool
@@ -32,21 +32,21 @@
 
 @dataclass(slots=True)
 class CutFronts:
-    """Lightweight fronts whose connections are closed and refused until `HealFronts`."""
+    """Closes the connections of lightweight fronts and refuses new ones until `HealFronts`."""
 
     names: list[str]
 
 
 @dataclass(slots=True)
 class HealFronts:
-    """Lightweight fronts that may connect again."""
+    """Allows lightweight fronts to connect again."""
 
     names: list[str]
 
 
 @dataclass(slots=True)
 class AppliedPurge:
-    """One purge that one start of a front applied. Times are Unix microseconds."""
+    """A purge that one incarnation of a front applied at `applied_us` (Unix microseconds)."""
 
     front: str
     start_ms: int
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class CachedVersion:
-    """One version in the local cache of a front; `issued_ms` is when the origin issued it."""
+    """A version in the local cache of a front; the origin issued it at `issued_ms` (Unix milliseconds)."""
 
     front: str
     object: int
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class FrontTraffic:
-    """Bytes of TCP payload of one front's control connections since it started."""
+    """Bytes of TCP payload on the discovery and control connections of a front since its start."""
 
     front: str
     received: int
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class FrontState:
-    """One front: its start, how many caches it knows, the configuration version in force there."""
+    """State of a front: start time (Unix milliseconds), number of caches, configuration version in force."""
 
     front: str
     start_ms: int
@@ -87,10 +87,17 @@
 
 @dataclass(slots=True)
 class HostReport:
-    """What a host saw. `cpu_s` is processor time of the process, `memory_bytes` is resident.
+    """Report of a worker with lightweight fronts.
 
-    `late_s` is the worst lateness of a timer since the last report: the delay that the machine or the host's
-    own work caused.
+    Attributes:
+        cpu_s: Processor seconds of the process.
+        memory_bytes: Resident bytes of the process.
+        late_s: Greatest delay of a timer since the last report, due to the machine or the worker's load.
+        applied: Purges applied since the last report.
+        traffic: Bytes of each front.
+        fronts: State of each front.
+        cached_versions: Contents of all local caches, if requested.
+        faults: Counters of errors that must not occur, by name.
     """
 
     cpu_s: float
--- a/benchmarks/scale/messages/real_fronts.py
+++ b/benchmarks/scale/messages/real_fronts.py
@@ -1,4 +1,4 @@
-"""Commands for the host of real fronts, and its replies."""
+"""Commands for workers with real fronts, and their replies."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 @dataclass(slots=True)
 class BeginLoad:
-    """Clients of the real fronts begin."""
+    """Starts the clients of the real fronts."""
 
 
 @dataclass(slots=True)
 class FinishLoad:
-    """Clients of the real fronts end, and the fronts too."""
+    """Stops the clients of the real fronts, then the fronts."""
 
 
 @dataclass(slots=True)
 class OriginPurge:
-    """The origin issues a new version of an object or, where that is 0, of a group."""
+    """Has the origin issue a new version of an object, or of a group if the object is 0."""
 
     object: int
     group: int
@@ -25,21 +25,21 @@
 
 @dataclass(slots=True)
 class PurgeTime:
-    """The Unix millisecond up to which the origin issued the versions that are purged."""
+    """The time in Unix milliseconds up to which the origin issued the purged versions."""
 
     unix_ms: int
 
 
 @dataclass(slots=True)
 class RealFrontsReady:
-    """The real fronts respond; `objects` are some that clients request, in hexadecimal."""
+    """The real fronts are ready; `objects` are some that clients request, in hexadecimal."""
 
     objects: list[str]
 
 
 @dataclass(slots=True)
 class RealFrontsUsage:
-    """Processor seconds and resident bytes of each real front, by their process ids."""
+    """Processor seconds, resident bytes and process id of each real front, in the same order."""
 
     cpu_s: list[float]
     memory_bytes: list[int]
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class RealFrontsReport:
-    """What clients of the real fronts saw; `notes` describe the first broken rules."""
+    """Results of the clients of the real fronts; `notes` describes the first broken rules."""
 
     request_count: int
     served_share: float
--- a/benchmarks/scale/messages/status.py
+++ b/benchmarks/scale/messages/status.py
@@ -1,4 +1,4 @@
-"""What the watch of the control plane's status reports."""
+"""Reports of the worker that polls the control plane's status."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class ConfirmedPurge:
-    """A purge that the status showed as applied everywhere; `duration_ms`: -1 if not known."""
+    """A purge that the status showed as applied everywhere; `duration_ms` is -1 if not known."""
 
     object: int
     group: int
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class StatusReport:
-    """What the control plane's status showed since the last report, and its latest state."""
+    """Purges confirmed since the last report, and the latest status of the control plane."""
 
     confirmed: list[ConfirmedPurge]
     connected: int
--- a/benchmarks/scale/plots.py
+++ b/benchmarks/scale/plots.py
@@ -9,30 +9,30 @@
 
 matplotlib.use("Agg")
 
-from matplotlib import pyplot  # the backend is chosen first
+from matplotlib import pyplot  # imported after the backend is selected
 from matplotlib.axes import Axes
 
 from .points import Point
 
-SIZE = (9.0, 3.2)  # inches
+FIGURE_INCHES = (9.0, 3.2)  # inches
 DOTS_PER_INCH = 80
-USUAL_PURGES = 12.0
-PURGE_DEADLINE = 2.6  # seconds
+DEFAULT_PURGES_PER_S = 12.0
+PURGE_DEADLINE_S = 2.6
 
 Quantity = Callable[[Point], float | None]
 
 
 def draw(points: list[Point], path: Path) -> None:
-    """Three panels over the number of fronts: purge times, processor time and bytes of a front."""
-    figure, panels = pyplot.subplots(1, 3, figsize=SIZE)
+    """Plot purge times, processor time and bytes of a front against the number of fronts."""
+    figure, panels = pyplot.subplots(1, 3, figsize=FIGURE_INCHES)
     _panel(panels[0], points, "seconds to the last front, worst", lambda one: one.purge_everywhere_s_worst)
-    panels[0].axhline(PURGE_DEADLINE, color="grey", linestyle=":")
-    _panel(panels[1], points, "processor time of a front, share of a core", lambda one: one.front_cpu)
+    panels[0].axhline(PURGE_DEADLINE_S, color="grey", linestyle=":")
+    _panel(panels[1], points, "processor time of a front, share of a core", lambda point: point.front_cpu)
     _panel(
         panels[2],
         points,
         "bytes a second of a front",
-        lambda one: one.front_bytes_in_per_s + one.front_bytes_out_per_s,
+        lambda point: point.front_bytes_in_per_s + point.front_bytes_out_per_s,
     )
     path.parent.mkdir(parents=True, exist_ok=True)
     figure.tight_layout()
@@ -47,7 +47,7 @@
             for point in points
             if point.mode == mode
             and point.sweep in ("fronts", "control")
-            and point.purges_per_s == USUAL_PURGES
+            and point.purges_per_s == DEFAULT_PURGES_PER_S
             and (value := quantity(point)) is not None
         )
         if chosen:
--- a/benchmarks/scale/points.py
+++ b/benchmarks/scale/points.py
@@ -1,4 +1,4 @@
-"""Measured points: one setting and what it cost; no I/O."""
+"""Measured points: a setting and its results; no I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """What is varied."""
+    """The quantities that the sweeps vary; `directory` is entries of each front's directory."""
 
     fronts: int
     purges_per_s: float
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Point:
-    """A setting and what was measured; `benchmarks/measurements/README.md` has units and meanings."""
+    """A setting and its results; `benchmarks/measurements/README.md` describes the fields and units."""
 
     sweep: str
     mode: str
--- a/benchmarks/scale/population.py
+++ b/benchmarks/scale/population.py
@@ -1,4 +1,4 @@
-"""The lightweight fronts of a scale run: which host runs which front, their lives, and what they reported."""
+"""The lightweight fronts of a scale run: their hosts, their incarnations and their reports."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 import gevent
 
-from .checkers import AppliedIndex, Disturbance, FrontLife
+from .checkers import AppliedIndex, Disconnection, FrontIncarnation
 from .messages.common import Collect
 from .messages.fronts import CachedVersion, CutFronts, HealFronts, HostReport, StartFronts, StopFronts
 from .worker import Worker, memory_of
 
-START_TIMEOUT_S = 40.0  # for all fronts of a host
-POLL_INTERVAL_S = 0.2  # between two reports while fronts start
+START_TIMEOUT_S = 40.0  # until all started fronts have the list of caches
+POLL_INTERVAL_S = 0.2  # between reports while fronts start
 
 
 class PopulationError(Exception):
-    """The fronts did not start as asked."""
+    """Fronts did not receive the list of caches in time."""
 
 
 @dataclass(slots=True)
 class HostSample:
-    """The counters of one host at one moment; bytes are those of each front."""
+    """Counters of one host at one time; `received` and `sent` are bytes by front."""
 
     cpu_s: float
     memory_bytes: int
@@ -34,7 +34,7 @@
 
 
 def now_us() -> int:
-    """Unix microseconds."""
+    """Return the time in Unix microseconds."""
     return time.time_ns() // 1000
 
 
@@ -42,16 +42,17 @@
     """All lightweight fronts, spread evenly over the hosts.
 
     Args:
-        workers: The hosts, which may still be starting.
-        discovery: By region, where its discovery service listens ("host:port").
-        control: Path of the control plane's settings; empty: there is none.
+        workers: The workers that host the fronts; they may still be starting.
+        discovery: Address of the discovery service ("host:port") by region.
+        control: Path of the control plane's settings; empty: there is no control plane.
 
     Attributes:
-        index: Who applied which purge, from all reports so far.
-        lives: Every start of every front.
-        empty_bytes: Memory of the hosts before they run fronts.
-        late_s: The worst lateness of a timer in any host, until it is set back to 0.
-        faults: Counters of what must not happen, by name, for each host.
+        index: Times at which fronts applied purges, from all reports so far.
+        current: The present incarnation of each running front, by name.
+        incarnations: Every incarnation of every front.
+        idle_memory_bytes: Memory of the hosts before they run fronts.
+        late_s: Greatest lateness of a timer in any host since the field was last set to 0.
+        faults: Counters of errors that must not occur, by name, for each host.
     """
 
     def __init__(self, workers: list[Worker], discovery: dict[str, str], control: str = "") -> None:
@@ -59,8 +60,8 @@
         self.discovery, self.control = discovery, control
         self.host_of: dict[str, int] = {}
         self.region_of: dict[str, str] = {}
-        self.current: dict[str, FrontLife] = {}
-        self.lives: list[FrontLife] = []
+        self.current: dict[str, FrontIncarnation] = {}
+        self.incarnations: list[FrontIncarnation] = []
         self.index = AppliedIndex([])
         self.faults: dict[int, dict[str, int]] = {}
         self.cached_versions: list[CachedVersion] = []
@@ -68,7 +69,7 @@
         self.late_s = 0.0
         for worker in self.workers:
             worker.wait_until_ready()
-        self.empty_bytes = sum(memory_of(worker.pid) for worker in self.workers)
+        self.idle_memory_bytes = sum(memory_of(worker.pid) for worker in self.workers)
 
     @property
     def pids(self) -> list[int]:
@@ -76,7 +77,7 @@
         return [worker.pid for worker in self.workers]
 
     def start(self, names_by_region: dict[str, list[str]], directory: int, caches: int) -> None:
-        """Start fronts and wait until each has received the list of caches."""
+        """Start fronts and wait until each has received `caches` caches. Raises `PopulationError`."""
         names = [name for part in names_by_region.values() for name in part]
         for region, part in names_by_region.items():
             for name in part:
@@ -84,7 +85,7 @@
                 self.region_of[name] = region
         began_us = now_us()
         for region, part in names_by_region.items():
-            self._each(part, partial(self._start_command, region, directory))
+            self._execute_on_hosts(part, partial(self._start_command, region, directory))
         waiting, end = set(names), time.monotonic() + START_TIMEOUT_S
         starts: dict[str, int] = {}
         while waiting and time.monotonic() < end:
@@ -99,48 +100,51 @@
                         waiting.discard(state.front)
                         starts[state.front] = state.start_ms
         if waiting:
-            counted = dict(self.all_faults())
-            raise PopulationError(f"{len(waiting)} fronts received no list, as {min(waiting)}: {counted}")
+            counted = dict(self.error_counts())
+            raise PopulationError(
+                f"{len(waiting)} fronts, such as {min(waiting)}, did not receive the list of caches in time: "
+                f"{counted}"
+            )
         connected_us = now_us()
         for name, start_ms in starts.items():
-            self.current[name] = FrontLife(name, start_ms, connected_us)
-            self.lives.append(self.current[name])
+            self.current[name] = FrontIncarnation(name, start_ms, connected_us)
+            self.incarnations.append(self.current[name])
 
     def _start_command(self, region: str, directory: int, names: list[str]) -> StartFronts:
         return StartFronts(names, self.discovery[region], self.control, directory)
 
     def stop(self, names: list[str], graceful: bool) -> None:
-        """End fronts; `graceful`: they announce it to the control nodes first."""
+        """Stop fronts; if `graceful`, they leave the control plane first."""
         stopped_us = now_us()
         for name in names:
             self.current.pop(name).end_us = stopped_us
-        self._each(names, lambda part: StopFronts(part, graceful))
+        self._execute_on_hosts(names, lambda part: StopFronts(part, graceful))
 
     def cut(self, names: list[str]) -> None:
-        """Close and refuse the connections of fronts."""
+        """Close the connections of fronts and refuse new ones."""
         began_us = now_us()
         for name in names:
-            self.current[name].disturbances.append(Disturbance(began_us, 1 << 62))
-        self._each(names, CutFronts)
+            self.current[name].disconnections.append(Disconnection(began_us, 1 << 62))
+        self._execute_on_hosts(names, CutFronts)
 
     def heal(self, names: list[str]) -> None:
-        """End a cut."""
-        self._each(names, HealFronts)
+        """Allow fronts that were cut off to connect again."""
+        self._execute_on_hosts(names, HealFronts)
         healed_us = now_us()
         for name in names:
-            cut = self.current[name].disturbances[-1]
-            self.current[name].disturbances[-1] = Disturbance(cut.begin_us, healed_us)
+            cut = self.current[name].disconnections[-1]
+            self.current[name].disconnections[-1] = Disconnection(cut.begin_us, healed_us)
 
     def collect(self, with_cached_versions: bool = False) -> list[HostReport]:
-        """Take in what the hosts report, and return it."""
+        """Request a report from every host, process it and return all reports."""
         command = Collect(with_cached_versions)
         jobs = [gevent.spawn(worker.request, command, HostReport) for worker in self.workers]
         gevent.joinall(jobs)
         reports: list[HostReport] = [job.get() for job in jobs]
         for number, report in enumerate(reports):
             self.late_s = max(self.late_s, report.late_s)
-            for one in report.applied:
-                self.index.add(one)
+            for record in report.applied:
+                self.index.add(record)
             self.faults[number] = report.faults
         if with_cached_versions:
             self.cached_versions = [copy for report in reports for copy in report.cached_versions]
@@ -148,27 +152,27 @@
         return reports
 
     def sample(self) -> list[HostSample]:
-        """The counters of all hosts now."""
+        """Return the present counters of all hosts."""
         return [
             HostSample(
                 report.cpu_s,
                 report.memory_bytes,
-                {one.front: one.received for one in report.traffic},
-                {one.front: one.sent for one in report.traffic},
+                {front.front: front.received for front in report.traffic},
+                {front.front: front.sent for front in report.traffic},
             )
             for report in self.collect()
         ]
 
-    def all_faults(self) -> Counter[str]:
-        """What the fronts counted of what must not happen."""
-        return sum((Counter(one) for one in self.faults.values()), Counter())
+    def error_counts(self) -> Counter[str]:
+        """Return the counters of errors that must not occur, summed over all hosts."""
+        return sum((Counter(counts) for counts in self.faults.values()), Counter())
 
     def close(self) -> None:
-        """End the hosts."""
+        """Stop the hosts."""
         gevent.joinall([gevent.spawn(worker.stop) for worker in self.workers])
 
-    def _each(self, names: list[str], command: Callable[[list[str]], object]) -> None:
-        """Send each host the command for its part of these fronts, and wait until all are carried out."""
+    def _execute_on_hosts(self, names: list[str], command: Callable[[list[str]], object]) -> None:
+        """Execute the command on each host for its share of the fronts, in parallel."""
         parts: dict[int, list[str]] = {}
         for name in names:
             parts.setdefault(self.host_of[name], []).append(name)
--- a/benchmarks/scale/purging.py
+++ b/benchmarks/scale/purging.py
@@ -1,4 +1,4 @@
-"""Issues purges at a steady rate to every discovery service, and records them."""
+"""Issues purges at a constant rate at every discovery service, and records them."""
 
 from __future__ import annotations
 
@@ -14,18 +14,19 @@
 
 
 class PurgeIssuer:
-    """Purges drawn from the seed.
+    """Issues purges whose targets the seed determines.
 
     Attributes:
-        issued: All purges so far, in their order.
-        rate: Purges a second; 0: none.
+        issued: All purges so far, in the order of issue.
+        rate: Purges a second; 0 pauses.
+        latest: Unix milliseconds of the last purge, by object and group.
 
     Args:
-        seed: What the purges are drawn from.
-        directory: How many directory entries of lightweight fronts may be purged.
+        seed: Determines the targets of the purges.
+        directory: Number of directory entries of lightweight fronts that may be purged.
         publish: Publishes a purge at the discovery services.
-        moment: Returns the Unix millisecond at which the origin replaced an object or group.
-        real_objects: Objects that clients of real fronts ask for.
+        purge_at_origin: Has the origin replace an object or group; returns the time in Unix milliseconds.
+        real_objects: Objects that clients of real fronts request.
     """
 
     def __init__(
@@ -33,19 +34,19 @@
         seed: int,
         directory: int,
         publish: Callable[[PublishPurge], object],
-        moment: Callable[[int, int], int] = lambda _object_id, _group: now_us() // 1000,
+        purge_at_origin: Callable[[int, int], int] = lambda _object_id, _group: now_us() // 1000,
         real_objects: Sequence[int] = (),
     ) -> None:
         self.seed, self.directory, self.publish = seed, directory, publish
-        self.moment, self.real_objects = moment, real_objects
+        self.purge_at_origin, self.real_objects = purge_at_origin, real_objects
         self.issued: list[IssuedPurge] = []
         self.rate = 0.0
         self.latest: dict[tuple[int, int], int] = {}
         self.loop = gevent.spawn(self._run)
 
     def issue(self, object_id: int, group: int) -> IssuedPurge:
-        """Issue one purge now, whose identity is unique."""
-        unix_ms = max(self.moment(object_id, group), self.latest.get((object_id, group), 0) + 1)
+        """Issue one purge now, with a unique identity."""
+        unix_ms = max(self.purge_at_origin(object_id, group), self.latest.get((object_id, group), 0) + 1)
         self.latest[object_id, group] = unix_ms
         issued_us = now_us()
         purge = IssuedPurge(object_id, group, unix_ms, issued_us)
@@ -54,8 +55,8 @@
         return purge
 
     def issued_between(self, begin_us: int, end_us: int) -> list[IssuedPurge]:
-        """Return the purges issued in a time; Unix microseconds."""
-        return [one for one in self.issued if begin_us <= one.issued_us < end_us]
+        """Return the purges issued from `begin_us` up to `end_us` (Unix microseconds)."""
+        return [purge for purge in self.issued if begin_us <= purge.issued_us < end_us]
 
     def close(self) -> None:
         """Stop issuing purges."""
--- a/benchmarks/scale/real_host.py
+++ b/benchmarks/scale/real_host.py
@@ -1,6 +1,7 @@
-"""Worker process: real fronts under load, with stand-ins for caches and clients that check every response.
+"""Worker process that runs real fronts under load, with stand-ins for caches and clients.
 
-Arguments: how many, the seed, requests a second at each front, and the control plane's settings file or "-".
+The clients check every response. Arguments: number of fronts, seed, requests a second at each front, and the
+settings file of the control plane or "-".
 """
 
 from __future__ import annotations
@@ -29,14 +30,14 @@
 )
 from .worker import cpu_of, memory_of, serve
 
-OBJECTS = 200  # that the clients request
-CLEAR_AFTER_S = 2.0  # until a cache has dropped what was purged
-PURGE_DEADLINE_S = 2.6  # after which no older version may be served
-KNOWN_OBJECTS = 40  # that the scale run is sent, to be purged
+OBJECT_COUNT = 200  # objects that the clients request
+CACHE_PURGE_DELAY_S = 2.0  # until the caches drop a purged object or group
+PURGE_DEADLINE_S = 2.6  # after it no older version may be served
+PURGEABLE_OBJECTS = 40  # objects reported to the scale run, which purges them
 
 
 class RealHost:
-    """Real fronts, all that they talk to, and their clients."""
+    """Real fronts, stand-ins for all servers that they connect to, and clients."""
 
     def __init__(self, count: int, seed: int, rate: float, control: str) -> None:
         self.count, self.seed, self.rate = count, seed, rate
@@ -49,10 +50,10 @@
         self.names = [f"f{number}" for number in range(count)]
 
     def handle(self, command: object) -> object | None:
-        """Carry out one command; return the reply."""
+        """Execute one command; return the reply, or None if it has no result."""
         match command:
             case BeginLoad():
-                return self.begin()
+                return self.begin_load()
             case OriginPurge(object_id, group):
                 return PurgeTime(self.fleet.object_store.purge(object_id, group))
             case PublishPurge():
@@ -61,55 +62,55 @@
                 pids = [process.pid for process in self.fleet.processes.values()]
                 return RealFrontsUsage([cpu_of(pid) for pid in pids], [memory_of(pid) for pid in pids], pids)
             case FinishLoad():
-                return self.finish()
+                return self.finish_load()
             case _:
                 raise ValueError(f"unknown command: {command!r}")
         return None
 
-    def begin(self) -> RealFrontsReady:
-        """Wait for the fronts and start the clients."""
+    def begin_load(self) -> RealFrontsReady:
+        """Wait until the fronts are ready and start the clients."""
         self.fleet.wait_until_ready()
-        self.load = FleetLoad(self.fleet, self.seed, [self.rate] * self.count, OBJECTS)
-        objects = sorted({self.load.object_for(number) for number in range(4 * KNOWN_OBJECTS)})
-        return RealFrontsReady([f"{one:x}" for one in objects[:KNOWN_OBJECTS]])
+        self.load = FleetLoad(self.fleet, self.seed, [self.rate] * self.count, OBJECT_COUNT)
+        objects = sorted({self.load.object_for(number) for number in range(4 * PURGEABLE_OBJECTS)})
+        return RealFrontsReady([f"{object_id:x}" for object_id in objects[:PURGEABLE_OBJECTS]])
 
     def purge(self, command: PublishPurge) -> None:
-        """Publish a purge at the fronts' own discovery services, and later drop it from the caches."""
-        holds_at = now() + PURGE_DEADLINE_S
-        self.purges.add(command.object, command.group, False, now(), dict.fromkeys(self.names, holds_at))
+        """Publish a purge at the fronts' own discovery services; the caches apply it later."""
+        deadline = now() + PURGE_DEADLINE_S
+        self.purges.add(command.object, command.group, False, now(), dict.fromkeys(self.names, deadline))
         self.fleet.for_each_discovery_service(
-            lambda one: one.purge(command.object, command.group, command.unix_ms)
+            lambda service: service.purge(command.object, command.group, command.unix_ms)
         )
-        gevent.spawn_later(CLEAR_AFTER_S, self._clear, command)
+        gevent.spawn_later(CACHE_PURGE_DELAY_S, self._purge_caches, command)
 
-    def _clear(self, command: PublishPurge) -> None:
+    def _purge_caches(self, command: PublishPurge) -> None:
         for cache in (*self.fleet.caches, *self.fleet.parents):
             cache.cache.drop_purged(command.object, command.group, command.unix_ms)
 
     def close(self) -> None:
-        """End the fronts if no command did so."""
+        """Stop the fronts unless `FinishLoad` has done so."""
         if not self.finished:
             self.fleet.close()
             shutil.rmtree(self.folder, ignore_errors=True)
 
-    def finish(self) -> RealFrontsReport:
-        """End the load and the fronts, and check every response."""
+    def finish_load(self) -> RealFrontsReport:
+        """Stop the clients and the fronts, and check every response."""
         if self.load is None:
-            raise ValueError("the load was not started")
+            raise ValueError("FinishLoad was received before BeginLoad")
         self.finished = True
         broken, results = self.load.finish(), self.load.results
         self.purges.check(results)
-        shutdown_faults = self.fleet.close()
-        rules = broken_rules(self.fleet, results, broken, shutdown_faults)
+        shutdown_failures = self.fleet.close()
+        rules = broken_rules(self.fleet, results, broken, shutdown_failures)
         shutil.rmtree(self.folder, ignore_errors=True)
         records = results.records
         return RealFrontsReport(
             len(records),
-            sum(one.served for one in records) / len(records) if records else 0.0,
+            sum(record.served for record in records) / len(records) if records else 0.0,
             rules["lost"],
             rules["doubled"] + rules["double_effects"],
             rules["stale"],
-            [*shutdown_faults, *results.notes][:20],
+            [*shutdown_failures, *results.notes][:20],
         )
 
 
--- a/benchmarks/scale/slopes.py
+++ b/benchmarks/scale/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of the measured points: which quantity is a linear function of what; no I/O."""
+"""Fits measured quantities as linear functions of the varied settings; no I/O."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from .points import Point
 
 COMMAND = "python -m benchmarks.scale"
-ROUNDING = 6  # significant digits in the measurement file
+SIGNIFICANT_DIGITS = 6  # significant digits in the measurement file
 
-PRODUCT = "purge_per_s_directory_entry"
+PURGE_RATE_TIMES_DIRECTORY = "purge_per_s_directory_entry"
 
 Variable = Callable[[Point], float]
 
@@ -20,7 +20,7 @@
     "purge_per_s": lambda point: point.purges_per_s,
     "front_purge_per_s": lambda point: point.fronts * point.purges_per_s,
     "directory_entry": lambda point: point.directory,
-    PRODUCT: lambda point: point.purges_per_s * point.directory,
+    PURGE_RATE_TIMES_DIRECTORY: lambda point: point.purges_per_s * point.directory,
     "cache": lambda point: point.caches,
 }
 RANGES: dict[str, Variable] = {
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """What is fitted: a quantity of a role as a linear function of these variables."""
+    """A quantity of a role, fitted as a linear function of `variables`; `value` reads it from a point."""
 
     role: str
     quantity: str
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class Slope:
-    """A fitted model, as `benchmarks/measurements/README.md` describes it."""
+    """A fitted model; `benchmarks/measurements/README.md` describes the fields."""
 
     name: str
     role: str
@@ -61,7 +61,7 @@
 
 
 def models(mode: str) -> list[Model]:
-    """What is fitted to the points of a mode."""
+    """Return the models that are fitted to the points of a mode."""
     server = "discovery_service" if mode == "discovery" else "control_node"
     return [
         Model(
@@ -88,22 +88,22 @@
 
 
 def fit_all(points: Iterable[Point], mode: str) -> tuple[list[Slope], list[str]]:
-    """The slopes of a mode's points, and a line for each that the points do not determine."""
-    chosen = [one for one in points if one.mode == mode and not one.sweep.startswith("silence")]
+    """Return the slopes of a mode's points, and a message for each model that the points do not determine."""
+    chosen = [point for point in points if point.mode == mode and not point.sweep.startswith("silence")]
     slopes, left_out = [], []
     for model in models(mode):
         name = f"{model.role}_{model.quantity}_{mode}"
         try:
-            slopes.append(_slope(name, model, mode, chosen))
+            slopes.append(_fit_slope(name, model, mode, chosen))
         except UnderdeterminedError as error:
             left_out.append(f"{name}: {error}")
     return slopes, left_out
 
 
-def _slope(name: str, model: Model, mode: str, points: list[Point]) -> Slope:
+def _fit_slope(name: str, model: Model, mode: str, points: list[Point]) -> Slope:
     varied = [one for one in model.variables if len({VARIABLES[one](point) for point in points}) > 1]
-    if PRODUCT in varied and len({point.directory for point in points}) == 1:
-        varied.remove(PRODUCT)  # the same as purges a second then
+    if PURGE_RATE_TIMES_DIRECTORY in varied and len({point.directory for point in points}) == 1:
+        varied.remove(PURGE_RATE_TIMES_DIRECTORY)  # then proportional to purges a second
     settings = [{one: VARIABLES[one](point) for one in varied} for point in points]
     found = fit(varied, settings, [model.value(point) for point in points])
     return Slope(
@@ -112,19 +112,19 @@
         model.quantity,
         mode,
         UNITS[model.quantity],
-        significant(found.intercept),
-        {key: significant(value) for key, value in found.slopes.items()},
-        significant(found.error),
-        {key: significant(value) for key, value in found.standard_errors.items()},
+        round_significant(found.intercept),
+        {key: round_significant(value) for key, value in found.slopes.items()},
+        round_significant(found.error),
+        {key: round_significant(value) for key, value in found.standard_errors.items()},
         {
-            key: [min(of(point) for point in points), max(of(point) for point in points)]
-            for key, of in RANGES.items()
+            key: [min(variable(point) for point in points), max(variable(point) for point in points)]
+            for key, variable in RANGES.items()
         },
         found.points,
         COMMAND,
     )
 
 
-def significant(value: float) -> float:
-    """Round to the digits that are recorded."""
-    return float(f"{value:.{ROUNDING}g}")
+def round_significant(value: float) -> float:
+    """Round to `SIGNIFICANT_DIGITS`."""
+    return float(f"{value:.{SIGNIFICANT_DIGITS}g}")
--- a/benchmarks/scale/status_watch.py
+++ b/benchmarks/scale/status_watch.py
@@ -1,7 +1,7 @@
-"""Worker process: polls the control nodes for their status, as `control status` does.
+"""Worker process that polls the status of the control nodes like `control status`.
 
-Argument: the settings file. It reports each purge that the status showed as applied everywhere once, with the
-time.
+It reports each purge once, with the time at which the status first showed it as applied everywhere.
+Argument: the settings file.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from .messages.status import ConfirmedPurge, StatusReport
 from .worker import serve
 
-INTERVAL_S = 0.5  # between two polls
-ANSWER_TIMEOUT_S = 1.0  # for each node
+POLL_INTERVAL_S = 0.5  # between two polls
+ANSWER_TIMEOUT_S = 1.0  # for the status of each node
 
 
 class StatusWatch:
-    """Polls the control plane."""
+    """Polls the status of the control plane."""
 
     def __init__(self, path: str) -> None:
         self.settings = read(path)
@@ -36,7 +36,7 @@
     def _run(self) -> None:
         while True:
             self._poll()
-            gevent.sleep(INTERVAL_S)
+            gevent.sleep(POLL_INTERVAL_S)
 
     def _poll(self) -> None:
         answers = query_all(self.settings, ANSWER_TIMEOUT_S)
@@ -54,7 +54,7 @@
         self.report.refused = [one.front for one in configuration.rejections]
 
     def handle(self, command: object) -> object | None:
-        """Reply to `Collect` with all that came since the last one."""
+        """Return the reply to `Collect`: purges confirmed since the last report and the latest status."""
         if not isinstance(command, Collect):
             raise TypeError(f"unknown command: {command!r}")
         report = self.report
--- a/benchmarks/scale/summary.py
+++ b/benchmarks/scale/summary.py
@@ -1,17 +1,17 @@
-"""The last line of a scale run, its rules and its budgets; no I/O."""
+"""The summary line of a scale run, its rules and its budgets; no I/O."""
 
 from __future__ import annotations
 
 from dataclasses import asdict, dataclass, field
 
-RULES = ("stale", "missed_purges", "falsely_confirmed", "lost", "doubled")  # each must be 0
+RULES = ("stale", "missed_purges", "falsely_confirmed", "lost", "doubled")  # figures that must be 0
 NOT_RUN = "not run"
-FIGURE_DIGITS = 5  # after the decimal point
+FIGURE_DIGITS = 5  # digits after the decimal point
 
 
 @dataclass(slots=True)
 class Summary:
-    """The fields of the last line; None where nothing was measured. `not_measured` says why."""
+    """The fields of the summary line; None where nothing was measured, for the reason in `not_measured`."""
 
     fronts: int = 0
     real_fronts: int = 0
@@ -37,34 +37,34 @@
     lost: int | None = None
     doubled: int | None = None
     not_measured: dict[str, str] = field(default_factory=dict)
-    faults: list[str] = field(default_factory=list)  # other rules that broke
+    failures: list[str] = field(default_factory=list)  # descriptions of failures other than RULES
 
     def figures(self) -> dict[str, float | None]:
-        """Return all figures by their names, rounded."""
+        """Return all figures by name, rounded."""
         content: dict[str, float | None] = asdict(self)
-        del content["not_measured"], content["faults"]
+        del content["not_measured"], content["failures"]
         return {
             name: round(value, FIGURE_DIGITS) if isinstance(value, float) else value
             for name, value in content.items()
         }
 
-    def gaps(self) -> dict[str, str]:
-        """Return why there is no figure, by the names of those that were not measured."""
+    def missing_reasons(self) -> dict[str, str]:
+        """Return the reason for each figure that was not measured, by name."""
         missing = [name for name, value in self.figures().items() if value is None]
         return {name: self.not_measured.get(name, NOT_RUN) for name in missing}
 
     def line(self) -> dict[str, object]:
-        """Return the content of the last line: every figure, and every gap explained."""
-        return {**self.figures(), "not_measured": self.gaps()}
+        """Return the content of the summary line: all figures, and the reasons for missing ones."""
+        return {**self.figures(), "not_measured": self.missing_reasons()}
 
-    def broken(self) -> list[str]:
-        """The rules that broke."""
-        return [f"{name} is {getattr(self, name)}" for name in RULES if getattr(self, name)] + self.faults
+    def broken_rules(self) -> list[str]:
+        """Return descriptions of all broken rules and other failures."""
+        return [f"{name} is {getattr(self, name)}" for name in RULES if getattr(self, name)] + self.failures
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetLimit:
-    """A budget: the figure of a field of the summary is to stay at or under the limit."""
+    """An upper limit (inclusive) of a field of the summary."""
 
     name: str
     field: str
@@ -89,7 +89,7 @@
 )
 
 
-def kept(budget: BudgetLimit, summary: Summary) -> bool | None:
-    """Whether the budget was kept; None where nothing was measured."""
+def is_within_budget(budget: BudgetLimit, summary: Summary) -> bool | None:
+    """Whether the figure is within the budget; None where nothing was measured."""
     value = getattr(summary, budget.field)
     return None if value is None else value <= budget.limit
--- a/benchmarks/scale/sweep.py
+++ b/benchmarks/scale/sweep.py
@@ -1,4 +1,4 @@
-"""Sweeps of fronts, purges a second, directory entries and caches on the discovery service alone."""
+"""Sweeps over fronts, purges a second, directory entries and caches without a control plane."""
 
 from __future__ import annotations
 
@@ -17,39 +17,39 @@
 from .worker import Worker
 
 REGION = "east"
-DIRECTORY = 8192  # entries: the bound of a front's directory
-EMPTY = 0
+FULL_DIRECTORY = 8192  # greatest number of entries in a front's directory
+EMPTY_DIRECTORY = 0
 CACHES = 78
-PURGES = 12.0  # a second
+PURGES_PER_S = 12.0
 DEADLINE_US = 2_600_000
-SILENT_ONE_IN = 4  # one in so many followers is sent nothing by a silent discovery service
-SILENT_SECONDS = 8.0
+SILENT_ONE_IN = 4  # one in so many followers gets no data during a silence
+SILENT_WINDOW_S = 8.0
 
 Progress = Callable[[str], None]
 
 
 @dataclass(frozen=True, slots=True)
 class SweepPlan:
-    """Which settings are measured.
+    """The settings to measure.
 
-    The fronts are varied with an empty directory, as that costs nothing in proportion to them; directories,
-    and with a full one purges a second, are varied at `few` fronts.
+    The number of fronts is varied with empty directories, which add no cost for each front. Directory
+    entries, at all rates of purges, and caches are varied at `fixed_fronts` fronts.
     """
 
     fronts: tuple[int, ...]
     purges: tuple[float, ...]
     directories: tuple[int, ...]
     caches: tuple[int, ...]
-    few: int
-    window: float  # seconds of each point
+    fixed_fronts: int
+    window_s: float  # duration of each point
     hosts: int
 
 
-FULL = SweepPlan((50, 200, 730), (3.0, 24.0), (2048, DIRECTORY), (20, 156), 40, 6.0, 8)
+FULL_SWEEP = SweepPlan((50, 200, 730), (3.0, 24.0), (2048, FULL_DIRECTORY), (20, 156), 40, 6.0, 8)
 
 
 def cache_list(count: int, zone: str = "far") -> list[ServerEntry]:
-    """Return entries for caches that no front connects to."""
+    """Return endpoint list entries of caches that no front connects to."""
     return [
         {
             "id": f"cache{number}",
@@ -66,7 +66,7 @@
 
 
 class DiscoveryBench:
-    """A discovery service, lightweight fronts that watch it, and purges."""
+    """A discovery service, lightweight fronts that watch it, and an issuer of purges."""
 
     def __init__(self, seed: int, hosts: int, directory: int, caches: int) -> None:
         self.directory, self.caches = directory, caches
@@ -79,23 +79,23 @@
         self.service.execute(PublishCaches(cache_list(caches)))
 
     def sample(self) -> ServerSample:
-        """The counters of the discovery service."""
+        """Return the counters of the discovery service."""
         report = self.service.request(QueryService(), ServiceReport)
         return ServerSample({REGION: report.cpu_s}, report.memory_bytes, report.bytes_out)
 
     def grow(self, fronts: int) -> None:
-        """Start fronts until there are so many."""
+        """Start fronts until `fronts` of them run."""
         more = [f"h{number}" for number in range(len(self.names), fronts)]
         self.names += more
         self.population.start({REGION: more}, self.directory, self.caches)
 
     def measure(self, sweep: str, purges: float, seconds: float) -> Point:
-        """One point at the present number of fronts."""
+        """Measure one point with the present number of fronts."""
         setting = Setting(len(self.names), purges, self.directory, self.caches)
         return self.window.measure(sweep, setting, seconds)
 
     def close(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         self.issuer.close()
         self.population.close()
         self.service.stop()
@@ -105,39 +105,42 @@
     """Measure every point of the plan."""
     points: list[Point] = []
 
-    def take(point: Point) -> None:
+    def record(point: Point) -> None:
         points.append(point)
         progress(describe(point))
 
-    with closing(DiscoveryBench(seed, plan.hosts, EMPTY, CACHES)) as bench:
+    with closing(DiscoveryBench(seed, plan.hosts, EMPTY_DIRECTORY, CACHES)) as bench:
         for fronts in plan.fronts:
             bench.grow(fronts)
-            for purges in (PURGES, *plan.purges):
-                take(bench.measure("fronts", purges, plan.window))
+            for purges in (PURGES_PER_S, *plan.purges):
+                record(bench.measure("fronts", purges, plan.window_s))
         for reconnections in (0, 1):
-            take(silence(bench, reconnections))
+            record(measure_silence(bench, reconnections))
     varied = [("directory", one, CACHES) for one in plan.directories]
-    varied += [("caches", EMPTY, one) for one in plan.caches]
+    varied += [("caches", EMPTY_DIRECTORY, one) for one in plan.caches]
     for sweep, directory, caches in varied:
         with closing(DiscoveryBench(seed, plan.hosts, directory, caches)) as bench:
-            bench.grow(plan.few)
-            for purges in (PURGES, *plan.purges) if sweep == "directory" else (PURGES,):
-                take(bench.measure(sweep, purges, plan.window))
+            bench.grow(plan.fixed_fronts)
+            for purges in (PURGES_PER_S, *plan.purges) if sweep == "directory" else (PURGES_PER_S,):
+                record(bench.measure(sweep, purges, plan.window_s))
     return points
 
 
-def silence(bench: DiscoveryBench, reconnections: int) -> Point:
-    """Measure while some followers are sent nothing, nor on as many of the next connections."""
+def measure_silence(bench: DiscoveryBench, reconnections: int) -> Point:
+    """Measure while the discovery service sends nothing to one in `SILENT_ONE_IN` followers.
+
+    If `reconnections` is 1, as many of the following new connections are silent too.
+    """
     silent = len(bench.names) // SILENT_ONE_IN
     command = SilenceFollowers(REGION, SILENT_ONE_IN, reconnections * silent)
     gevent.spawn_later(1.0, bench.service.execute, command)
-    point = bench.measure(f"silence_{reconnections}", PURGES, SILENT_SECONDS)
+    point = bench.measure(f"silence_{reconnections}", PURGES_PER_S, SILENT_WINDOW_S)
     bench.service.execute(SilenceFollowers(REGION, 0))
     return point
 
 
 def describe(point: Point) -> str:
-    """One line for a terminal."""
+    """Return a point as one line of text."""
     worst = point.purge_everywhere_s_worst
     took = "-" if worst is None else f"{worst:.3f} s"
     return (
--- a/benchmarks/scale/topology.py
+++ b/benchmarks/scale/topology.py
@@ -1,13 +1,13 @@
-"""The deployment that the scale run plays: regions, zones, control nodes and the names of fronts; no I/O."""
+"""The deployment that the scale run simulates: regions, zones, control nodes and front names; no I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-REGION_ZONES = {"east": 4, "west": 4, "north": 3}
+REGION_ZONES = {"east": 4, "west": 4, "north": 3}  # number of zones by region
 REGIONS = tuple(REGION_ZONES)
-REAL_REGION = "east"  # where the real fronts stand
+REAL_REGION = "east"  # region of the real fronts
 DEPLOYMENT = "scale"
 PURGE_DEADLINE_MS = 2600
 CONFIGURATION_DEADLINE_MS = 5000
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeAddresses:
-    """Where a control node stands and listens."""
+    """Location and listening addresses of a control node."""
 
     name: str
     region: str
@@ -26,7 +26,7 @@
 
 
 def node_addresses(count: int, ports: list[int]) -> list[NodeAddresses]:
-    """So many control nodes, spread over the regions and their zones; two ports for each."""
+    """Return `count` control nodes spread over the regions and their zones; each takes two ports."""
     nodes = []
     for number in range(count):
         region = REGIONS[number % len(REGIONS)]
@@ -37,7 +37,7 @@
 
 
 def lightweight_names(count: int) -> dict[str, list[str]]:
-    """The names of so many lightweight fronts by region, spread evenly."""
+    """Return the names of `count` lightweight fronts by region, spread evenly."""
     names: dict[str, list[str]] = {region: [] for region in REGIONS}
     for number in range(count):
         region = REGIONS[number % len(REGIONS)]
@@ -46,31 +46,31 @@
 
 
 def peer_address(name: str) -> str:
-    """Where a lightweight front would take messages of its peers; nobody sends any."""
+    """Return the peer address of a lightweight front; no peer sends messages to it."""
     region, _, number = name.rpartition("-")
     return f"127.{REGIONS.index(region) + 1}.{int(number) // 250}.{int(number) % 250 + 1}:4000"
 
 
-def peers_before(name: str) -> list[str]:
-    """The addresses of a lightweight front's peers up to its own, in the order that all of its region use."""
+def peers_up_to(name: str) -> list[str]:
+    """Return the peer addresses of a region up to and including the front's own, in the shared order."""
     region, _, number = name.rpartition("-")
     return [peer_address(f"{region}-{other}") for other in range(int(number) + 1)]
 
 
-def absent_address(name: str) -> str:
-    """An address that stands in the place of that front in a list of peers, and is no front's."""
+def placeholder_address(name: str) -> str:
+    """Return an address that replaces the front's in a peer list and belongs to no front."""
     return peer_address(name).replace(":4000", ":4001")
 
 
-def by_number(names: list[str]) -> list[str]:
-    """The lightweight fronts of one region in the order of their numbers."""
+def sort_by_number(names: list[str]) -> list[str]:
+    """Return the lightweight fronts of one region, sorted by number."""
     return sorted(names, key=lambda name: int(name.rpartition("-")[2]))
 
 
-def document_text(base_version: int, region: str, names: list[str], left_out: list[str]) -> str:
-    """A configuration that lists the peers of a region, each in its place; who is left out lacks its own."""
-    ordered = by_number(names)
-    peers = (absent_address(name) if name in left_out else peer_address(name) for name in ordered)
+def document_text(base_version: int, region: str, names: list[str], excluded: list[str]) -> str:
+    """Return a configuration that lists a region's peers by number, with placeholders for `excluded`."""
+    ordered = sort_by_number(names)
+    peers = (placeholder_address(name) if name in excluded else peer_address(name) for name in ordered)
     lines = " ".join(f'peer: "{peer}"' for peer in peers)
     return f'deployment: "{DEPLOYMENT}" base_version: {base_version} region {{ name: "{region}" {lines} }}\n'
 
@@ -78,7 +78,7 @@
 def settings_text(
     discovery: Mapping[str, str], nodes: list[NodeAddresses], lightweight: int, real_names: list[str]
 ) -> str:
-    """The control plane's settings in protobuf text format."""
+    """Return the control plane's settings in protobuf text format."""
     lines = [
         f'deployment: "{DEPLOYMENT}"',
         f"purge_deadline_ms: {PURGE_DEADLINE_MS}",
@@ -91,11 +91,11 @@
         lines.append(f'region {{ name: "{region}" discovery: "{discovery[region]}" {" ".join(fronts)} }}')
     lines += [
         f'node {{ name: "{node.name}" region: "{node.region}" zone: "{node.zone}" '
-        f'address: "{_text(node.address)}" quorum_address: "{_text(node.quorum_address)}" }}'
+        f'address: "{_host_port(node.address)}" quorum_address: "{_host_port(node.quorum_address)}" }}'
         for node in nodes
     ]
     return "\n".join(lines) + "\n"
 
 
-def _text(address: tuple[str, int]) -> str:
+def _host_port(address: tuple[str, int]) -> str:
     return f"{address[0]}:{address[1]}"
--- a/benchmarks/scale/worker.py
+++ b/benchmarks/scale/worker.py
@@ -1,4 +1,4 @@
-"""Worker processes of the scale run: commands on their standard input, replies on their standard output."""
+"""Worker processes of the scale run, with commands on standard input and replies on standard output."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
 from .messages.codec import decode, encode
 from .messages.common import Done, Failed, Ready
 
-LIFETIME_S = 1200.0  # after which a worker ends by itself, whatever it is doing
+LIFETIME_S = 1200.0  # a worker exits after this time in any case
 REPLY_TIMEOUT_S = 60.0
-STOP_TIMEOUT_S = 5.0
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+STOP_TIMEOUT_S = 5.0  # from closing the input of a worker until it is killed
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 ReplyT = TypeVar("ReplyT")
 
 
 class WorkerError(Exception):
-    """A worker ended, did not answer in time, or could not do what it was asked."""
+    """A worker ended, did not reply in time, sent an unexpected reply, or failed to execute a command."""
 
 
 class Worker:
-    """One worker process, seen from the scale run.
+    """The scale run's side of one worker process.
 
     Args:
-        module: The module of `benchmarks.scale` that it runs.
-        arguments: Its command line.
+        module: Module of `benchmarks.scale` that the worker runs.
+        arguments: Command line arguments of the worker.
     """
 
     def __init__(self, module: str, *arguments: str) -> None:
         self.name = module
-        self.log = tempfile.TemporaryFile()  # noqa: SIM115, it is closed with the worker
+        self.log = tempfile.TemporaryFile()  # noqa: SIM115, `stop` closes it
         self.process = subprocess.Popen(
             [sys.executable, "-O", "-m", f"benchmarks.scale.{module}", *arguments],
             stdin=subprocess.PIPE,
@@ -55,27 +55,27 @@
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """Process id of the worker."""
         return self.process.pid
 
     def wait_until_ready(self, timeout_s: float = REPLY_TIMEOUT_S) -> Ready:
-        """Wait for its first line. Raises `WorkerError`."""
+        """Wait for the worker's first line. Raises `WorkerError`."""
         return self._reply(Ready, timeout_s)
 
     def execute(self, command: object, timeout_s: float = REPLY_TIMEOUT_S) -> None:
-        """Send a command that has no result, and wait until it was carried out. Raises `WorkerError`."""
+        """Send a command that has no result and wait until it is executed. Raises `WorkerError`."""
         self.request(command, Done, timeout_s)
 
     def request(
         self, command: object, reply_type: type[ReplyT], timeout_s: float = REPLY_TIMEOUT_S
     ) -> ReplyT:
-        """Send a command and return the reply. Raises `WorkerError`, also for a reply of another type."""
+        """Send a command and return its reply. Raises `WorkerError`, also if the reply has another type."""
         with self.lock:
             try:
                 self.commands.write(encode(command))
                 self.commands.flush()
             except OSError as error:
-                raise WorkerError(f"{self.name} has ended: {self.tail()}") from error
+                raise WorkerError(f"{self.name} has ended: {self.log_tail()}") from error
             return self._reply(reply_type, timeout_s)
 
     def _reply(self, reply_type: type[ReplyT], timeout_s: float) -> ReplyT:
@@ -83,21 +83,23 @@
         with gevent.Timeout(timeout_s, False):
             line = self.replies.readline()
         if not line:
-            raise WorkerError(f"{self.name}: {'no reply' if line is None else 'ended'}: {self.tail()}")
+            raise WorkerError(
+                f"{self.name}: {'no reply' if line is None else 'ended'}, log: {self.log_tail()}"
+            )
         reply = decode(line)
         if isinstance(reply, Failed):
             raise WorkerError(f"{self.name}: {reply.reason}")
         if not isinstance(reply, reply_type):
-            raise WorkerError(f"{self.name}: replied {reply!r}, not {reply_type.__name__}")
+            raise WorkerError(f"{self.name}: expected {reply_type.__name__}, received {reply!r}")
         return reply
 
-    def tail(self) -> str:
-        """The end of what it wrote on its standard error."""
+    def log_tail(self) -> str:
+        """Return the end of the worker's standard error."""
         self.log.seek(max(0, self.log.seek(0, os.SEEK_END) - 600))
         return self.log.read().decode("utf-8", "replace").strip()
 
     def stop(self) -> None:
-        """End it: its input is closed, and what is left after a while is killed."""
+        """Close the worker's input, and kill the worker if it does not exit in time."""
         with suppress(OSError):
             self.commands.close()
         end = time.monotonic() + STOP_TIMEOUT_S
@@ -111,12 +113,12 @@
         self.log.close()
 
 
-def serve(first: object, handle: Callable[[object], object | None]) -> None:
-    """Run the worker's side: send `first`, reply to each command, and return once the input ends."""
+def serve(ready: object, handle: Callable[[object], object | None]) -> None:
+    """Run the worker's side: send `ready`, reply to each command, and return when the input ends."""
     commands = FileObject(sys.stdin.buffer, "rb", close=False)
     replies = FileObject(sys.stdout.buffer, "wb", close=False)
     gevent.spawn_later(LIFETIME_S, os._exit, 3)
-    replies.write(encode(first))
+    replies.write(encode(ready))
     replies.flush()
     while line := commands.readline():
         try:
@@ -129,15 +131,15 @@
 
 
 def memory_of(pid: int) -> int:
-    """Resident bytes of a process; 0 once it has ended."""
+    """Return the resident bytes of a process; 0 if it has ended."""
     with suppress(OSError, ValueError, IndexError):
-        return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE
+        return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
     return 0
 
 
 def cpu_of(pid: int) -> float:
-    """Processor seconds of a process so far; 0.0 once it has ended."""
+    """Return the processor seconds of a process so far; 0.0 if it has ended."""
     with suppress(OSError, ValueError, IndexError):
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
     return 0.0
--- a/benchmarks/scale/workload.py
+++ b/benchmarks/scale/workload.py
@@ -1,4 +1,4 @@
-"""What the scale run purges and what lightweight fronts cache, drawn from the seed; no I/O."""
+"""The targets of purges and the objects that lightweight fronts cache, derived from a seed; no I/O."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from marbleglade.testing.object_store import hashed_fraction
 
-GROUPS = 256  # groups of the discovery protocol
-HOT_COUNT = 32  # objects that every lightweight front has cached
-CACHED_AGE_MS = 300  # how long before it is cached a version was issued
-GROUP_SHARE = 1 / 8  # of purges, that name a group
-HOT_SHARE = 1 / 2  # of purges, that name a hot object
-REAL_SHARE = 1 / 4  # of purges, that name an object of the real fronts
-KEY_SEED = 7
+GROUPS = 256  # number of groups in the discovery protocol
+HOT_COUNT = 32  # objects that every lightweight front caches
+CACHED_AGE_MS = 300  # age of a version when it is cached
+GROUP_SHARE = 1 / 8  # share of purges that target a group
+HOT_SHARE = 1 / 2  # share of purges that target a hot object
+REAL_SHARE = 1 / 4  # share of purges that target an object of the real fronts
+KEY_SEED = 7  # seed of the object ids, the same in every run
 
 
 def _object_id(kind: str, number: int) -> int:
@@ -27,12 +27,12 @@
 
 @cache
 def directory_key(number: int) -> int:
-    """The object of a directory's entry of that number."""
+    """Return the object of the directory entry with that number."""
     return _object_id("entry", number)
 
 
 def group_of(object_id: int) -> int:
-    """The group of an object."""
+    """Return the group of an object."""
     return object_id >> 8 & (GROUPS - 1)
 
 
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PurgeTarget:
-    """One object or, where that is 0, one group."""
+    """An object, or a group if `object` is 0."""
 
     object: int
     group: int
 
 
 def purge_target(seed: int, number: int, directory: int, real_objects: Sequence[int] = ()) -> PurgeTarget:
-    """What the purge of that number names: a group, a hot object, one of `real_objects`, or an entry."""
+    """Return the target of a purge: a group, a hot object, one of `real_objects`, or a directory entry."""
     draw = hashed_fraction(seed, "kind", number)
     if draw < GROUP_SHARE:
         return PurgeTarget(0, int(hashed_fraction(seed, "group", number) * GROUPS))
--- a/tests/benchmarks/test_scale_workers.py
+++ b/tests/benchmarks/test_scale_workers.py
@@ -1,11 +1,11 @@
-"""Workers of the scale run: their messages arrive as they were sent, and lightweight fronts record purges."""
+"""Messages of the scale run's workers are decoded as encoded, and lightweight fronts record purges."""
 
 import os
 
 import pytest
 
 from benchmarks.no_upstreams import NoUpstreamError, NoUpstreams
-from benchmarks.scale.lightweight_front import LightweightFront, discard, shared_settings
+from benchmarks.scale.lightweight_front import LightweightFront, open_log_sink, shared_settings
 from benchmarks.scale.messages import common, discovery, fronts, real_fronts, status
 from benchmarks.scale.messages.codec import MESSAGE_TYPES, decode, encode
 from marbleglade.model.upstream import Upstream
@@ -51,19 +51,19 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
-def test_a_message_arrives_as_it_was_sent(message):
+def test_a_message_is_decoded_as_it_was_encoded(message):
     assert decode(encode(message)) == message
 
 
-def test_every_message_that_is_sent_by_itself_is_among_them():
-    """Records only stand within reports."""
+def test_the_messages_above_include_every_type_but_records():
+    """Records are sent only within reports."""
     records = {"AppliedPurge", "CachedVersion", "FrontTraffic", "FrontState", "ConfirmedPurge"}
     assert {type(message).__name__ for message in MESSAGES} == set(MESSAGE_TYPES) - records
 
 
 @pytest.fixture
 def front():
-    sink = discard()
+    sink = open_log_sink()
     yield LightweightFront("east-3", shared_settings(), sink)
     os.close(sink)
 
@@ -71,23 +71,23 @@
 def test_a_lightweight_front_records_the_first_application_of_a_purge(front):
     for index, unix_ms in enumerate((100, 100, 200), 1):
         front.events.apply_and_publish(Purge(index, 7, 9, unix_ms))
-    recorded = front.events.drain()
+    recorded = front.events.take_applied()
     assert [(one.front, one.start_ms, one.object, one.group, one.unix_ms) for one in recorded] == [
         ("east-3", front.start_ms, 7, 0, 100),
         ("east-3", front.start_ms, 7, 0, 200),
     ]
-    assert front.events.drain() == []
+    assert front.events.take_applied() == []
     assert front.handler.events is front.events
 
 
-def test_a_purge_drops_what_a_lightweight_front_has_cached(front):
+def test_a_purge_removes_the_cached_version_of_its_object(front):
     front.refresh_cache()
     cached = list(front.cached_versions())
     front.events.apply_and_publish(Purge(1, cached[0].object, 0, cached[0].issued_ms + 1000))
     assert list(front.cached_versions()) == cached[1:]
 
 
-def test_a_lightweight_front_has_as_many_directory_entries_as_asked(front):
+def test_a_lightweight_front_has_the_requested_number_of_directory_entries(front):
     front.fill_directory(50)
     assert len(front.policy.directory) == 50
 
