--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -36,7 +36,7 @@
     window_s=3.0,
     catch_up_s=1.0,
     requests_per_s=6.0,
-    fault_deadline_s=46.0,
+    time_limit_s=46.0,
 )
 FULL = RunSize(
     front_counts=(100, 365, 730),
@@ -51,11 +51,11 @@
     window_s=8.0,
     catch_up_s=4.0,
     requests_per_s=6.0,
-    fault_deadline_s=420.0,
+    time_limit_s=420.0,
 )
 
 
-def arguments() -> argparse.Namespace:
+def parse_arguments() -> argparse.Namespace:
     """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seed", type=int, default=1)
@@ -67,7 +67,8 @@
     parser.add_argument(
         "--only",
         default="",
-        help=f"only these faults, timed as a full run: {', '.join(one.name.lower() for one in FaultKind)}",
+        help="inject only these faults, with the time limit of a full run: "
+        f"{', '.join(kind.name.lower() for kind in FaultKind)}",
     )
     return parser.parse_args()
 
@@ -76,7 +77,7 @@
     """Return the size of the run that the options select."""
     scale = QUICK if options.quick else FULL
     if options.only:
-        scale = replace(scale, fault_deadline_s=FULL.fault_deadline_s)
+        scale = replace(scale, time_limit_s=FULL.time_limit_s)
     if not options.fronts:
         return scale
     smaller = [size for size in scale.front_counts[:-2] if 2 * size < options.fronts]
@@ -90,15 +91,15 @@
 
 def main() -> int:
     """Run the sweeps and the scenario; return the exit code."""
-    options = arguments()
+    options = parse_arguments()
     command = " ".join(["python -m benchmarks.scale", *sys.argv[1:]])
     measurement = measurement_file.start_measurement(options.seed, command)
     if not (options.quick or options.no_sweeps):
         measurement.points += sweep.run(sweep.FULL_SWEEP, options.seed, progress)
         if options.write:
             measurement.write(options.write)  # keeps the results of the sweeps if the scenario fails
-    only = frozenset(FaultKind[name.upper()] for name in options.only.split(",") if name)
-    scenario = Scenario(run_size(options), options.seed, options.quick, progress, only)
+    selected_faults = frozenset(FaultKind[name.upper()] for name in options.only.split(",") if name)
+    scenario = Scenario(run_size(options), options.seed, options.quick, progress, selected_faults)
     summary = scenario.run()
     measurement.points += scenario.points
     for note in scenario.notes:
@@ -117,9 +118,9 @@
     """Fit the slopes and write the output files that the options specify."""
     modes = ("control",) if options.no_sweeps else ("discovery", "control")
     for mode in () if options.quick else modes:
-        found, left_out = slopes.fit_all(measurement.points, mode)
+        found, not_fitted = slopes.fit_all(measurement.points, mode)
         measurement.slopes += found
-        for text in left_out:
+        for text in not_fitted:
             progress(f"not fitted: {text}")
     measurement.summary, measurement.not_measured = summary.figures(), summary.missing_reasons()
     measurement.load_after = measurement_file.load_average()
--- a/benchmarks/scale/configuring.py
+++ b/benchmarks/scale/configuring.py
@@ -71,12 +71,12 @@
         path = self.settings_path.parent / "document.textproto"
         path.write_text(document_text(self.version, region, peers, rejecting))
         began = time.monotonic()
-        self._command(path)
+        self._run_propose_command(path)
         self.outcome.command_seconds.append(time.monotonic() - began)
         self.version += 1
-        self._wait(began, rejecting)
+        self._wait_until_in_force(began, rejecting)
 
-    def _command(self, path: Path) -> None:
+    def _run_propose_command(self, path: Path) -> None:
         command = [sys.executable, "-O", "-m", "marbleglade", "control", "propose"]
         process = subprocess.Popen(
             [*command, str(self.settings_path), str(path)], stdout=subprocess.PIPE, stderr=subprocess.STDOUT
@@ -90,7 +90,7 @@
         if process.returncode:
             raise ProposalError(f"control propose ended with exit code {process.returncode}: {output}")
 
-    def _wait(self, began: float, rejecting: list[str]) -> None:
+    def _wait_until_in_force(self, began: float, rejecting: list[str]) -> None:
         end = time.monotonic() + IN_FORCE_TIMEOUT_S
         while time.monotonic() < end:
             reports = self.population.collect()
--- a/benchmarks/scale/deployment.py
+++ b/benchmarks/scale/deployment.py
@@ -48,7 +48,7 @@
         window_s: Seconds of each measured window.
         catch_up_s: Seconds before a window in which fronts that were just started catch up.
         requests_per_s: Requests a second at each real front.
-        fault_deadline_s: Seconds from the start of the run by which the last fault and the shutdown must end.
+        time_limit_s: Seconds for the run; a fault is skipped if the run could not end in this time.
     """
 
     front_counts: tuple[int, ...]
@@ -63,10 +63,10 @@
     window_s: float
     catch_up_s: float
     requests_per_s: float
-    fault_deadline_s: float
+    time_limit_s: float
 
     @property
-    def lightweight(self) -> int:
+    def final_front_count(self) -> int:
         """The number of lightweight fronts at the end of the run."""
         return self.front_counts[-1]
 
@@ -90,7 +90,7 @@
         reference: Worker with the real fronts without control traffic.
         watch: Worker that polls the control plane's status.
         population: The lightweight fronts.
-        listed: Number of caches in the list that the discovery services publish.
+        listed_caches: Number of caches in the list that the discovery services publish.
         peak_processes: Greatest number of processes at once.
         peak_memory_bytes: Greatest sum of the resident bytes of all processes.
     """
@@ -113,7 +113,7 @@
         nodes = node_addresses(scale.control_nodes, free_ports(2 * scale.control_nodes))
         path = self.folder / "control.textproto"
         real_names = [f"f{number}" for number in range(scale.real_fronts)]
-        path.write_text(settings_text(addresses, nodes, scale.lightweight, real_names))
+        path.write_text(settings_text(addresses, nodes, scale.final_front_count, real_names))
         self.plane = ControlPlane(path, nodes)
         self._started.callback(self._close_plane)
         self.real = self._start_real_host(scale.real_fronts, str(path))
@@ -124,7 +124,7 @@
         servers = self.real.wait_until_ready().servers
         self.reference.wait_until_ready()
         self.watch.wait_until_ready()
-        self.listed = len(servers) + scale.caches
+        self.listed_caches = len(servers) + scale.caches
         self.discovery.execute(PublishCaches(servers + cache_list(scale.caches)))
         self.plane.wait_until_ready()
 
@@ -158,7 +158,7 @@
             region: [name for name in names if name not in self.population.current]
             for region, names in lightweight_names(count).items()
         }
-        self.population.start(more, self.scale.directory_entries, self.listed)
+        self.population.start(more, self.scale.directory_entries, self.listed_caches)
 
     def purge_at_origin(self, object_id: int, group: int) -> int:
         """Have the origin issue new versions; return the Unix ms up to which it issued the old ones."""
--- a/benchmarks/scale/fault_runner.py
+++ b/benchmarks/scale/fault_runner.py
@@ -29,10 +29,10 @@
         discovery: Worker,
         issuer: PurgeIssuer,
         proposer: ConfigurationProposer,
-        listed: int,
+        listed_caches: int,
     ) -> None:
         self.plane, self.population, self.discovery = plane, population, discovery
-        self.issuer, self.proposer, self.listed = issuer, proposer, listed
+        self.issuer, self.proposer, self.listed_caches = issuer, proposer, listed_caches
         self.actions = {
             FaultKind.KILL_NODE: self.kill_node,
             FaultKind.HANG_NODE: self.hang_node,
@@ -111,7 +111,7 @@
         by_region: dict[str, list[str]] = {}
         for name in names:
             by_region.setdefault(self.population.region_of[name], []).append(name)
-        self.population.start(by_region, EMPTY_DIRECTORY, self.listed)
+        self.population.start(by_region, EMPTY_DIRECTORY, self.listed_caches)
         return f"{len(names)} fronts{', gracefully' if graceful else ''}"
 
     def slow_readers(self, fault: Fault) -> str:
--- a/benchmarks/scale/faults.py
+++ b/benchmarks/scale/faults.py
@@ -13,8 +13,8 @@
     KILL_NODE = "kill a control node"
     HANG_NODE = "hang a control node"
     RESTART_ALL_BUT_ONE = "restart all control nodes but one"
-    CUT_ZONE = "cut a zone of fronts"
-    CUT_REGION = "cut a region of fronts"
+    CUT_ZONE = "cut off a zone of fronts"
+    CUT_REGION = "cut off a region of fronts"
     RESTART_FRONTS = "restart seven in ten fronts at once"
     SLOW_READERS = "slow readers and partial lines at control nodes"
     HALF_LINE = "a partial line from a discovery service"
@@ -38,8 +38,8 @@
 }
 # Seconds for starting and ending the fault on a busy machine, in addition to its duration.
 OVERHEAD_S = dict.fromkeys(FaultKind, 1.5) | {FaultKind.RESTART_FRONTS: 6.0}
-RESTARTED_SHARE = 0.7  # share of all fronts that are restarted at once
-ZONE_SHARE = 1 / 11  # share of all fronts that are in one zone
+RESTARTED_SHARE = 0.7  # share of the lightweight fronts that are restarted at once
+ZONE_SHARE = 1 / 11  # share of the lightweight fronts that are in one zone
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,7 +62,7 @@
         return self.seconds + OVERHEAD_S[self.kind]
 
     def choose(self, names: list[str]) -> str:
-        """Return the name that is the target of the fault."""
+        """Select the target of the fault from these names."""
         return names[int(self.random_fraction * len(names))]
 
 
--- a/benchmarks/scale/latency.py
+++ b/benchmarks/scale/latency.py
@@ -8,7 +8,7 @@
 from hdrh.histogram import HdrHistogram
 
 MICROSECONDS_PER_SECOND = 1_000_000
-MAX_RECORDED_US = 600 * MICROSECONDS_PER_SECOND
+MAX_RECORDED_US = 600 * MICROSECONDS_PER_SECOND  # longer times are recorded as this
 SIGNIFICANT_DIGITS = 3  # precision of the histogram
 
 
--- a/benchmarks/scale/lightweight_front.py
+++ b/benchmarks/scale/lightweight_front.py
@@ -34,7 +34,7 @@
 from marbleglade.state.upstream_registry import UpstreamRegistry
 from marbleglade.testing.front_settings import front_settings
 
-MILLISECOND_NS = 1_000_000  # nanoseconds
+MILLISECOND_NS = 1_000_000
 LOCAL_CACHE_BYTES = 1 << 20
 ENTRIES_PER_YIELD = 256  # added to a directory before other greenlets run
 COPY_BODY = b"x" * 64  # one body for all cached objects
@@ -49,21 +49,21 @@
         applied: Purges recorded since the last call of `take_applied`.
     """
 
-    def __init__(self, name: str, start_ms: int, parts: HandlerComponents) -> None:
+    def __init__(self, name: str, start_ms: int, components: HandlerComponents) -> None:
         super().__init__(
-            parts.driver,
-            parts.upstream_client,
-            parts.upstreams,
-            parts.purge_history,
-            parts.local_cache,
-            parts.guard,
+            components.driver,
+            components.upstream_client,
+            components.upstreams,
+            components.purge_history,
+            components.local_cache,
+            components.guard,
         )
         self.name, self.start_ms = name, start_ms
         self.seen: set[tuple[int, int, int]] = set()
         self.applied: list[AppliedPurge] = []
 
     def apply_and_publish(self, event: EndpointListChange | Purge) -> None:
-        """Apply an event like a real front; record a purge that is new."""
+        """Apply an event like a real front, and record a purge when it is first applied."""
         super().apply_and_publish(event)
         if not isinstance(event, Purge):
             return
@@ -127,7 +127,7 @@
             lambda _action: None,
         )
         self.peers = FixedPeers([parse_address(peer) for peer in peers_up_to(name)]) if "-" in name else None
-        parts = HandlerComponents(
+        components = HandlerComponents(
             self.driver,
             NoUpstreams(),
             self.upstreams,
@@ -136,8 +136,8 @@
             FLOW_BYTES_PER_S,
             self.guard,
         )
-        self.handler = RequestHandler(parts)
-        self.events = self.handler.events = RecordingEvents(name, self.start_ms, parts)
+        self.handler = RequestHandler(components)
+        self.events = self.handler.events = RecordingEvents(name, self.start_ms, components)
 
     def _create_policy(self, parameters: Parameters, host: PolicyDriver) -> Policy:
         self.policy = Policy(parameters, host)
--- a/benchmarks/scale/lightweight_host.py
+++ b/benchmarks/scale/lightweight_host.py
@@ -37,7 +37,7 @@
 
 TIMER_INTERVAL_S = 0.05  # interval of the timer whose lateness is measured
 REFRESH_INTERVAL_S = 1.0  # between two refreshes of the local caches
-FAULT_PREFIXES = ("exception.", "violated_invariant.")  # counters of errors that must not occur
+FAULT_PREFIXES = ("exception.", "violated_invariant.")  # prefixes of counters of errors that must not occur
 
 
 class RunningFront:
--- a/benchmarks/scale/real_host.py
+++ b/benchmarks/scale/real_host.py
@@ -32,7 +32,7 @@
 
 OBJECT_COUNT = 200  # objects that the clients request
 CACHE_PURGE_DELAY_S = 2.0  # until the caches drop a purged object or group
-PURGE_DEADLINE_S = 2.6  # after it no older version may be served
+PURGE_DEADLINE_S = 2.6  # time after a purge from which no older version may be served
 PURGEABLE_OBJECTS = 40  # objects reported to the scale run, which purges them
 
 
--- a/benchmarks/scale/scenario.py
+++ b/benchmarks/scale/scenario.py
@@ -51,9 +51,15 @@
         seed: int,
         quick: bool,
         progress: Progress,
-        only: frozenset[FaultKind] = frozenset(),
+        selected_faults: frozenset[FaultKind] = frozenset(),
     ) -> None:
-        self.scale, self.seed, self.quick, self.progress, self.only = scale, seed, quick, progress, only
+        self.scale, self.seed, self.quick, self.progress, self.selected_faults = (
+            scale,
+            seed,
+            quick,
+            progress,
+            selected_faults,
+        )
         self.began = time.monotonic()
         self.deployment = Deployment(scale, seed)
         self.points: list[Point] = []
@@ -72,7 +78,7 @@
                 self.grow(size)
                 for purges in (*self.scale.other_purges_per_s, self.scale.purges_per_s):
                     self.measure(purges)
-            self.grow(self.scale.lightweight)
+            self.grow(self.scale.final_front_count)
             before = self.deployment.sample_real_fronts()
             self.measure(self.scale.purges_per_s)
             after = self.deployment.sample_real_fronts()
@@ -116,7 +122,7 @@
         """Measure one window with the present number of fronts."""
         gevent.sleep(self.scale.catch_up_s)
         count = len(self.deployment.population.current)
-        setting = Setting(count, purges, self.scale.directory_entries, self.deployment.listed)
+        setting = Setting(count, purges, self.scale.directory_entries, self.deployment.listed_caches)
         self.points.append(self.window.measure("control", setting, self.scale.window_s))
         self.report_progress(describe(self.points[-1]))
         self.collect_reports()
@@ -130,11 +136,11 @@
             deployment.discovery,
             self.issuer,
             self.proposer,
-            deployment.listed,
+            deployment.listed_caches,
         )
         self.issuer.rate = self.scale.purges_per_s
-        for fault in plan_faults(self.seed, self.quick, self.only or runner.available):
-            if self.elapsed() + fault.total_seconds > self.scale.fault_deadline_s - SHUTDOWN_RESERVE_S:
+        for fault in plan_faults(self.seed, self.quick, self.selected_faults or runner.available):
+            if self.elapsed() + fault.total_seconds > self.scale.time_limit_s - SHUTDOWN_RESERVE_S:
                 self.skipped.append(fault.kind.value)
                 continue
             began, deployment.population.late_s = time.monotonic(), 0.0
@@ -204,7 +210,7 @@
             DEADLINE_US,
         )
         summary = evaluation.summary
-        summary.fronts, summary.real_fronts = self.scale.lightweight, self.scale.real_fronts
+        summary.fronts, summary.real_fronts = self.scale.final_front_count, self.scale.real_fronts
         summary.processes, summary.purges_per_s = deployment.peak_processes, self.scale.purges_per_s
         summary.memory_share = deployment.peak_memory_bytes / _machine_memory()
         summary.control_machines = self.scale.control_nodes
--- a/benchmarks/scale/slopes.py
+++ b/benchmarks/scale/slopes.py
@@ -90,14 +90,14 @@
 def fit_all(points: Iterable[Point], mode: str) -> tuple[list[Slope], list[str]]:
     """Return the slopes of a mode's points, and a message for each model that the points do not determine."""
     chosen = [point for point in points if point.mode == mode and not point.sweep.startswith("silence")]
-    slopes, left_out = [], []
+    slopes, not_fitted = [], []
     for model in models(mode):
         name = f"{model.role}_{model.quantity}_{mode}"
         try:
             slopes.append(_fit_slope(name, model, mode, chosen))
         except UnderdeterminedError as error:
-            left_out.append(f"{name}: {error}")
-    return slopes, left_out
+            not_fitted.append(f"{name}: {error}")
+    return slopes, not_fitted
 
 
 def _fit_slope(name: str, model: Model, mode: str, points: list[Point]) -> Slope:
@@ -105,22 +105,22 @@
     if PURGE_RATE_TIMES_DIRECTORY in varied and len({point.directory for point in points}) == 1:
         varied.remove(PURGE_RATE_TIMES_DIRECTORY)  # then proportional to purges a second
     settings = [{one: VARIABLES[one](point) for one in varied} for point in points]
-    found = fit(varied, settings, [model.value(point) for point in points])
+    fitted = fit(varied, settings, [model.value(point) for point in points])
     return Slope(
         name,
         model.role,
         model.quantity,
         mode,
         UNITS[model.quantity],
-        round_significant(found.intercept),
-        {key: round_significant(value) for key, value in found.slopes.items()},
-        round_significant(found.error),
-        {key: round_significant(value) for key, value in found.standard_errors.items()},
+        round_significant(fitted.intercept),
+        {key: round_significant(value) for key, value in fitted.slopes.items()},
+        round_significant(fitted.error),
+        {key: round_significant(value) for key, value in fitted.standard_errors.items()},
         {
             key: [min(variable(point) for point in points), max(variable(point) for point in points)]
             for key, variable in RANGES.items()
         },
-        found.points,
+        fitted.points,
         COMMAND,
     )
 
--- a/benchmarks/scale/verdict.py
+++ b/benchmarks/scale/verdict.py
@@ -100,8 +100,8 @@
     summary.growth_bytes_worst = _ratio(full.front_bytes_per_s_worst, half.front_bytes_per_s_worst)
     summary.growth_cpu_front = _ratio(full.front_cpu, half.front_cpu)
     before, after = records.before, records.after
-    controlled = _shares(before.controlled, after.controlled, after.at - before.at)
-    reference = _shares(before.reference, after.reference, after.at - before.at)
+    controlled = _cpu_shares(before.controlled, after.controlled, after.at - before.at)
+    reference = _cpu_shares(before.reference, after.reference, after.at - before.at)
     summary.control_cpu_share_front = _mean(controlled) - _mean(reference)
     reference_memory = _mean(after.reference.memory_bytes)
     summary.control_memory_mb_front = (max(after.controlled.memory_bytes) - reference_memory) / MEGABYTE
@@ -130,6 +130,6 @@
     return sum(values) / len(values)
 
 
-def _shares(before: RealFrontsUsage, after: RealFrontsUsage, seconds: float) -> list[float]:
+def _cpu_shares(before: RealFrontsUsage, after: RealFrontsUsage, seconds: float) -> list[float]:
     """Return the processor time of each real front as a share of a core."""
     return [(last - first) / seconds for first, last in zip(before.cpu_s, after.cpu_s, strict=True)]
--- a/benchmarks/scale/window.py
+++ b/benchmarks/scale/window.py
@@ -32,7 +32,7 @@
     Args:
         population: The lightweight fronts.
         issuer: Issues the purges.
-        servers: Returns the counters of the discovery services or control nodes.
+        sample_servers: Returns the counters of the discovery services or control nodes.
         deadline_us: Microseconds within which a purge must be applied everywhere.
         mode: What the fronts watch: "discovery" or "control".
     """
@@ -41,21 +41,21 @@
         self,
         population: Population,
         issuer: PurgeIssuer,
-        servers: Callable[[], ServerSample],
+        sample_servers: Callable[[], ServerSample],
         deadline_us: int,
         mode: str,
     ) -> None:
-        self.population, self.issuer, self.servers = population, issuer, servers
+        self.population, self.issuer, self.sample_servers = population, issuer, sample_servers
         self.deadline_us, self.mode = deadline_us, mode
 
     def measure(self, sweep: str, setting: Setting, seconds: float) -> Point:
         """Purge at the setting's rate for `seconds`, wait for the fronts, and return the point."""
-        hosts, servers, begin_us = self.population.sample(), self.servers(), now_us()
+        hosts, servers, begin_us = self.population.sample(), self.sample_servers(), now_us()
         self.population.late_s = 0.0
         self.issuer.rate = setting.purges_per_s
         gevent.sleep(seconds)
         self.issuer.rate = 0
-        end_us, hosts_after, servers_after = now_us(), self.population.sample(), self.servers()
+        end_us, hosts_after, servers_after = now_us(), self.population.sample(), self.sample_servers()
         late_s = self.population.late_s
         issued = self.issuer.issued_between(begin_us, end_us)
         self.wait_for_purges(issued)
