--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What each role of a deployment costs by its size: measurements, slopes and the capacity page's tables."""
+"""Measures what each role of a deployment costs by its size, and makes the tables of the capacity page."""
--- a/benchmarks/capacity/budgets.py
+++ b/benchmarks/capacity/budgets.py
@@ -1,4 +1,4 @@
-"""The operators' budgets against what was recorded: before the control plane, and with it."""
+"""The operators' budgets and the recorded figures that are compared with them."""
 
 from __future__ import annotations
 
@@ -7,126 +7,151 @@
 from marbleglade.transport import discovery_watch
 
 from . import operators
-from .records import Measurement
+from .records import CapacityRecord
 from .totals import Term, total
 
-RECONNECT_PAUSE = discovery_watch.HEARTBEAT_INTERVAL_S / 4  # seconds, the pause of `WatchClient`
-FAILED_CONNECT = discovery_watch.SILENCE_TIMEOUT_S / 2  # seconds for which it waits for a connection
+RECONNECT_PAUSE_S = discovery_watch.HEARTBEAT_INTERVAL_S / 4  # default `retry_pause_s` of `WatchClient`
+CONNECT_TIMEOUT_S = discovery_watch.SILENCE_TIMEOUT_S / 2  # assumed wait of `WatchClient` for a connection
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """One budget and the figure against it.
+    """One budget and the figure that is compared with it.
 
     Attributes:
-        name: What is bounded, for which front.
-        limit: In `unit`.
-        value: The figure, in `unit`; None where there is no mechanism that could keep it, or no measurement.
-        origin: "measured", "simulated" or "worked out", or why there is no figure.
-        mended_by: The field of the scale run's summary that answers it with the control plane; "": none does.
-        after: The figure with a later mechanism that was recorded beside it; None: there is none.
-        after_with: That mechanism.
+        name: The quantity that is limited, and for which front.
+        limit: The most that the operators allow, in `unit`.
+        unit: The unit of all figures.
+        value: The figure, in `unit`; None if no mechanism could keep the budget, or nothing was measured.
+        basis: "measured", "simulated" or "worked out", or why there is no figure.
+        scale_summary_field: Field of the scale run's summary with the figure of the control plane, or "".
+        later_value: The figure with a later mechanism, in `unit`; None if none was recorded.
+        later_mechanism: Name of that mechanism.
     """
 
     name: str
     limit: float
     unit: str
     value: float | None
-    origin: str
-    mended_by: str = ""
-    after: float | None = None
-    after_with: str = ""
+    basis: str
+    scale_summary_field: str = ""
+    later_value: float | None = None
+    later_mechanism: str = ""
 
     @property
-    def kept(self) -> bool:
-        """Whether the figure shows that the budget is kept."""
+    def is_within_limit(self) -> bool:
+        """Whether there is a figure and it is within the limit."""
         return self.value is not None and self.value <= self.limit
 
     @property
     def ratio(self) -> float:
-        """The figure over the limit; endless where there is no mechanism."""
+        """The figure divided by the limit; infinite if there is no figure."""
         return float("inf") if self.value is None else self.value / self.limit
 
 
-WATCH = (Term("watch"), Term("hints", 2))
-"""What every front gets from the discovery service, and exchanges with peers: sent and received."""
+UPDATE_BYTES = (Term("watch"), Term("hints", 2))
+"""Bytes of a front's update streams: its discovery watch, and anti-entropy messages sent and received."""
 AGENT_BYTES = tuple(Term(f"fleet loaded front bytes {way}") for way in ("sent", "received"))
 AGGREGATOR_BYTES = tuple(Term(f"fleet loaded view aggregator bytes {way}") for way in ("sent", "received"))
 LEADER_BYTES = tuple(Term(f"maintenance leader quorum bytes {way}") for way in ("sent", "received"))
-FEW_VOTERS_BYTES = tuple(
+NINE_VOTER_LEADER_BYTES = tuple(
     Term(f"maintenance leader with nine voters bytes {way}") for way in ("sent", "received")
 )
 PURGED_STATE = ("directory", "copies", "open requests", "recent purges")
-"""What a purge has to be looked up in."""
-PURGES = tuple(Term(f"purge by scan of {what}", operators.PURGES_PER_S) for what in PURGED_STATE)
-INDEXED_PURGES = tuple(Term(f"purge by index of {what}", operators.PURGES_PER_S) for what in PURGED_STATE)
-CHANGES = (Term("list change one cache changed", operators.CHANGES_PER_DAY / 86_400),)
+"""The kinds of a front's state in which a purge is looked up."""
+SCANNED_PURGE_CPU = tuple(
+    Term(f"purge by scan of {what}", operators.EXPECTED_PURGES_PER_S) for what in PURGED_STATE
+)
+INDEXED_PURGE_CPU = tuple(
+    Term(f"purge by index of {what}", operators.EXPECTED_PURGES_PER_S) for what in PURGED_STATE
+)
+LIST_CHANGE_CPU = (Term("list change one cache changed", operators.CHANGES_PER_DAY / 86_400),)
 AGENT_CPU = (Term("fleet loaded front processor time"),)
 AGGREGATOR_CPU = (Term("fleet loaded view aggregator processor time"),)
-VIEWED_BYTES = tuple(Term(f"fleet viewed by nodes front bytes {way}") for way in ("sent", "received"))
-VIEWED_CPU = (Term("fleet viewed by nodes front processor time"),)
-"""Of any front where control nodes make the load view: no front is the aggregator then."""
-BY_INDEX, BY_NODES = "purges by index", "the load view made by control nodes and purges by index"
+CONTROL_NODE_VIEW_BYTES = tuple(
+    Term(f"fleet viewed by nodes front bytes {way}") for way in ("sent", "received")
+)
+CONTROL_NODE_VIEW_CPU = (Term("fleet viewed by nodes front processor time"),)
+"""Figures of any front if control nodes aggregate the load view: no front is the aggregator then."""
+PURGE_INDEX, CONTROL_NODE_VIEW_AND_INDEX = (
+    "purges by index",
+    "the load view made by control nodes and purges by index",
+)
 AGENT_MEMORY = (Term("fleet front member table"),)
 
 
-def before(recorded: Measurement, fronts: int = operators.FRONTS) -> list[Budget]:
-    """The budgets on main before the control plane, with so many fronts."""
+def budgets_without_control_plane(recorded: CapacityRecord, fronts: int = operators.FRONTS) -> list[Budget]:
+    """Return the budgets and their figures before the control plane, with `fronts` fronts."""
     return [
         *_bytes(recorded, fronts),
         *_processor_time(recorded, fronts),
         _memory(recorded, fronts),
-        *_times(),
+        *_delays(),
     ]
 
 
-def _bytes(recorded: Measurement, fronts: int) -> list[Budget]:
-    limit, agent = operators.BYTES_PER_S, (*WATCH, *AGENT_BYTES)
+def _bytes(recorded: CapacityRecord, fronts: int) -> list[Budget]:
+    limit, agent = operators.MAX_BYTES_PER_S, (*UPDATE_BYTES, *AGENT_BYTES)
     found = (
         ("bytes of a usual front", agent, "simulated"),
-        ("bytes of the view aggregator", (*WATCH, *AGGREGATOR_BYTES), "simulated"),
+        ("bytes of the view aggregator", (*UPDATE_BYTES, *AGGREGATOR_BYTES), "simulated"),
         ("bytes of the maintenance leader", (*agent, *LEADER_BYTES), "simulated, while there is work"),
     )
     later = {
-        "bytes of the view aggregator": (VIEWED_BYTES, "the load view made by control nodes"),
-        "bytes of the maintenance leader": ((*VIEWED_BYTES, *FEW_VOTERS_BYTES), "nine voters and that view"),
+        "bytes of the view aggregator": (CONTROL_NODE_VIEW_BYTES, "the load view made by control nodes"),
+        "bytes of the maintenance leader": (
+            (*CONTROL_NODE_VIEW_BYTES, *NINE_VOTER_LEADER_BYTES),
+            "nine voters and that view",
+        ),
     }
     budgets = []
-    for name, terms, origin in found:
-        after_terms, after_with = later.get(name, ((), ""))
-        after = _after(recorded, (*WATCH, *after_terms), fronts) if after_terms else None
+    for name, terms, basis in found:
+        later_terms, later_mechanism = later.get(name, ((), ""))
+        later_value = _later_value(recorded, (*UPDATE_BYTES, *later_terms), fronts) if later_terms else None
         value = total(recorded, terms, fronts)
-        budgets.append(Budget(name, limit, "B/s", value, origin, after=after, after_with=after_with))
+        budgets.append(
+            Budget(name, limit, "B/s", value, basis, later_value=later_value, later_mechanism=later_mechanism)
+        )
     return budgets
 
 
-def _processor_time(recorded: Measurement, fronts: int) -> list[Budget]:
+def _processor_time(recorded: CapacityRecord, fronts: int) -> list[Budget]:
     found = []
     for who, agent, later, how in (
-        ("a usual front", AGENT_CPU, AGENT_CPU, BY_INDEX),
-        ("the view aggregator", AGGREGATOR_CPU, VIEWED_CPU, BY_NODES),
+        ("a usual front", AGENT_CPU, AGENT_CPU, PURGE_INDEX),
+        ("the view aggregator", AGGREGATOR_CPU, CONTROL_NODE_VIEW_CPU, CONTROL_NODE_VIEW_AND_INDEX),
     ):
-        value = total(recorded, (*agent, *PURGES, *CHANGES), fronts)
-        after = _after(recorded, (*later, *INDEXED_PURGES, *CHANGES), fronts)
-        name, origin = f"processor time of {who}", "measured, without sockets"
-        found.append(Budget(name, operators.CORE_SHARE, "core", value, origin, after=after, after_with=how))
+        value = total(recorded, (*agent, *SCANNED_PURGE_CPU, *LIST_CHANGE_CPU), fronts)
+        later_value = _later_value(recorded, (*later, *INDEXED_PURGE_CPU, *LIST_CHANGE_CPU), fronts)
+        name, basis = f"processor time of {who}", "measured, without sockets"
+        found.append(
+            Budget(
+                name,
+                operators.MAX_CORE_SHARE,
+                "core",
+                value,
+                basis,
+                later_value=later_value,
+                later_mechanism=how,
+            )
+        )
     return found
 
 
-def _after(recorded: Measurement, terms: tuple[Term, ...], fronts: int) -> float | None:
-    """The sum of lines of a later mechanism; None where one of them was not recorded."""
+def _later_value(recorded: CapacityRecord, terms: tuple[Term, ...], fronts: int) -> float | None:
+    """Return the total of a later mechanism's slopes, or None if one of them was not recorded."""
     names = {slope.name for slope in recorded.slopes}
     return total(recorded, terms, fronts) if all(term.name in names for term in terms) else None
 
 
-def _memory(recorded: Measurement, fronts: int) -> Budget:
+def _memory(recorded: CapacityRecord, fronts: int) -> Budget:
     value = total(recorded, AGENT_MEMORY, fronts)
-    return Budget("memory of a front's control", operators.MEMORY_BYTES, "B", value, "measured")
+    return Budget("memory of a front's control", operators.MAX_MEMORY_BYTES, "B", value, "measured")
 
 
-def _times() -> list[Budget]:
-    silent = discovery_watch.SILENCE_TIMEOUT_S + RECONNECT_PAUSE + FAILED_CONNECT
-    worst, limit = "purge_everywhere_s_worst", operators.PURGE_SECONDS
+def _delays() -> list[Budget]:
+    silent = discovery_watch.SILENCE_TIMEOUT_S + RECONNECT_PAUSE_S + CONNECT_TIMEOUT_S
+    worst, limit = "purge_everywhere_s_worst", operators.MAX_PURGE_SECONDS
     return [
         Budget(
             "a purge at a front whose discovery service falls silent and fails one reconnection",
@@ -139,7 +164,7 @@
         Budget("a purge confirmed as done everywhere", limit, "s", None, "no confirmation", worst),
         Budget(
             "a change of configuration in force everywhere",
-            operators.CONFIGURATION_SECONDS,
+            operators.MAX_CONFIGURATION_SECONDS,
             "s",
             None,
             "no distribution",
--- a/benchmarks/capacity/failures.py
+++ b/benchmarks/capacity/failures.py
@@ -1,4 +1,4 @@
-"""The events of the operators' list: what is lost, what carries it, how long service and control take."""
+"""The failures that operators expect: what each loses, and how service and control recover from it."""
 
 from __future__ import annotations
 
@@ -12,18 +12,27 @@
 from .budgets import PURGED_STATE
 from .markdown import table
 from .number_format import with_unit
-from .records import Measurement
+from .records import CapacityRecord
 from .scale_record import ScaleRecord
 from .totals import Term, total
 
-CUT_SECONDS = 3600  # for which regions lose each other
-CATCH_UP = 6144  # bytes a second of one front that catches up: the default of the control plane's settings
-PROBE = 1.0  # seconds between probes of a fleet agent, by default
+PARTITION_SECONDS = 3600  # duration of the partition between regions
+CATCH_UP_BYTES_PER_S = 6144  # rate to one front that catches up; default of the control plane's settings
+PROBE_INTERVAL_S = 1.0  # default interval between probes of a fleet agent
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """One row of the table."""
+    """One row of the table of failures.
+
+    Attributes:
+        event: What fails, and how often.
+        lost: The state and requests that are lost.
+        mechanism: What limits the effect of the failure.
+        service: How soon requests are served again.
+        control: How soon the control of fronts works again.
+        basis: Whether the row is measured, simulated, tested or worked out.
+    """
 
     event: str
     lost: str
@@ -34,26 +43,26 @@
 
 
 def suspicion_seconds(fronts: int) -> tuple[float, float]:
-    """Return the least and most seconds for which a fleet agent suspects a member before it is dead."""
-    size = PROBE * max(1.0, math.log10(fronts))
+    """Return the least and most seconds for which a member is suspected before it is considered dead."""
+    size = PROBE_INTERVAL_S * max(1.0, math.log10(fronts))
     return size * member_table.MIN_SUSPICION_RATIO, size * member_table.MAX_SUSPICION_RATIO
 
 
-def failures(recorded: Measurement, scale: ScaleRecord | None) -> list[Failure]:
-    """All rows."""
+def failures(recorded: CapacityRecord, scale: ScaleRecord | None) -> list[Failure]:
+    """Return all rows of the table."""
     return [
         _front_machine(recorded),
         _control_machine(scale),
         _cache_machine(),
         _restarts(recorded),
-        _rack(),
+        _rack_or_switch(),
         _zone(scale),
-        _regions(recorded, scale),
+        _region_partition(recorded, scale),
     ]
 
 
-def failure_table(recorded: Measurement, scale: ScaleRecord | None) -> list[str]:
-    """The rows as a table."""
+def failure_table(recorded: CapacityRecord, scale: ScaleRecord | None) -> list[str]:
+    """Return the table of failures in Markdown."""
     return table(
         ("event", "lost", "carried by", "service is back", "control is back", "how known"),
         (
@@ -63,7 +72,7 @@
     )
 
 
-def _front_machine(recorded: Measurement) -> Failure:
+def _front_machine(recorded: CapacityRecord) -> Failure:
     least, most = suspicion_seconds(operators.FRONTS)
     takeover = recorded.value("aggregator takeover", fronts=operators.FRONTS)
     dead = recorded.value("member held dead", fronts=operators.FRONTS)
@@ -107,7 +116,7 @@
     )
 
 
-def _restarts(recorded: Measurement) -> Failure:
+def _restarts(recorded: CapacityRecord) -> Failure:
     entry = recorded.slope("memory by directory")
     refill = operators.DIRECTORY_ENTRIES * entry.per["directory_entry"]
     return Failure(
@@ -120,7 +129,7 @@
     )
 
 
-def _rack() -> Failure:
+def _rack_or_switch() -> Failure:
     return Failure(
         "a rack or switch (every month or two)",
         "all machines behind it at once, at most one control node where racks are zones' parts",
@@ -144,44 +153,44 @@
     )
 
 
-def _regions(recorded: Measurement, scale: ScaleRecord | None) -> Failure:
-    purges = operators.PURGES_PER_S * CUT_SECONDS
+def _region_partition(recorded: CapacityRecord, scale: ScaleRecord | None) -> Failure:
+    purges = operators.EXPECTED_PURGES_PER_S * PARTITION_SECONDS
     line_bytes = recorded.slope("watch").per["purge_per_s"]
-    paced = purges * line_bytes / CATCH_UP
+    transfer_s = purges * line_bytes / CATCH_UP_BYTES_PER_S
     return Failure(
         "regions lose each other for an hour (now and then)",
         "confirmation of the other side's purges; nothing in the own region",
         "each region's discovery service and control nodes go on; after healing all is applied before "
         "anything older is given out",
         "not touched; what can't be known to be unpurged is not given out",
-        f"{purges:,} purges of {with_unit(line_bytes, 'B')} at {CATCH_UP:,} B/s: {with_unit(paced, 's')}; "
-        f"applying them takes a front {_applying(recorded, purges)}; "
+        f"{purges:,} purges of {with_unit(line_bytes, 'B')} at {CATCH_UP_BYTES_PER_S:,} B/s: "
+        f"{with_unit(transfer_s, 's')}; applying them takes a front {_catch_up_time(recorded, purges)}; "
         + _scale_seconds(scale, "purge_after_cut_s", "after a cut of scaled length all were applied within "),
         f"worked out; scaled cut {_scale_basis(scale, 'purge_after_cut_s')}",
     )
 
 
-def _applying(recorded: Measurement, purges: int) -> str:
-    """Processor time of a front that is told so many purges one after the other, for each way recorded."""
+def _catch_up_time(recorded: CapacityRecord, purges: int) -> str:
+    """Return the processor time in which a front applies `purges` purges in a row, by scan and by index."""
     found = []
     for way in ("scan", "index"):
         names = [f"purge by {way} of {what}" for what in PURGED_STATE]
         if names[0] in {slope.name for slope in recorded.slopes}:
-            once = total(recorded, map(Term, names[:-1]), operators.FRONTS)
+            per_purge = total(recorded, map(Term, names[:-1]), operators.FRONTS)
             recent = recorded.slope(names[-1]).per["recent_purge"]
-            seconds = purges * (once + max(0.0, recent) * purges / 2)
+            seconds = purges * (per_purge + max(0.0, recent) * purges / 2)
             found.append(f"{with_unit(seconds, 's')} of processor time with purges by {way}")
     return ", ".join(found)
 
 
 def _scale_seconds(scale: ScaleRecord | None, field: str, prefix: str) -> str:
-    """The figure of that field of the scale run's summary behind a prefix, or that there is none."""
+    """Return the prefix and this field of the scale run's summary, or "not measured"."""
     value = scale.summary.get(field) if scale else None
     return "not measured" if value is None else f"{prefix}{with_unit(value, 's')}"
 
 
 def _scale_basis(scale: ScaleRecord | None, field: str) -> str:
-    """How that field is known."""
+    """Return whether this field was measured in the scale run and, if it is known, why not."""
     if scale and scale.summary.get(field) is not None:
         return "measured on loopback in the scale run"
     return "not measured" + (
--- a/benchmarks/capacity/fleet_agent.py
+++ b/benchmarks/capacity/fleet_agent.py
@@ -1,8 +1,8 @@
-"""What a fleet agent sends and computes by the number of members, on simulated time, without requests.
+"""Traffic and processor time of a fleet agent by the number of members, on simulated time, without requests.
 
-The agents start in a stable state: each knows when the others were started. Two kinds of member are
-distinguished: the leader for the aggregated load view, which sends to all, and any other. Processor time is
-that of the agent's own calls with the coding of its datagrams, not of sockets.
+The agents start in a stable state: each has the start times of all others. The leader, which aggregates the
+load view and sends it to all, is measured apart from the other members. Processor time covers the agent's own
+calls and the encoding and decoding of its datagrams, but no sockets.
 """
 
 from __future__ import annotations
@@ -23,157 +23,188 @@
 from marbleglade.model.fleet_view import LinkUsage, LoadObservations
 from marbleglade.protocols import fleet_datagrams
 
-from .fit import fitted_by_name
+from .fit import fit_slopes_by_name
 from .records import Point, Slope
 
-MILLISECOND = 1_000_000  # ns
-SECOND = 1000 * MILLISECOND
-PERIOD = SECOND  # of a probe
-TICK = 250 * MILLISECOND  # the sweep of a front's loop
-STEP = 10 * MILLISECOND
-DELAY = 20 * MILLISECOND  # of a datagram
-SETTLING_TIME, MEASURE = 6, 8  # simulated seconds
-BEGAN_MS = 1_700_000_000_000
-LINKS = 9  # of a loaded front, the most that a report carries
-SAMPLED = 8  # members beside the aggregator whose processor time is taken
+NS_PER_MS = 1_000_000
+NS_PER_S = 1000 * NS_PER_MS
+PROBE_INTERVAL = NS_PER_S
+TICK = 250 * NS_PER_MS  # interval of a front's periodic work
+TIME_STEP = 10 * NS_PER_MS
+DATAGRAM_DELAY = 20 * NS_PER_MS
+SETTLING_SECONDS, MEASURED_SECONDS = 6, 8  # of simulated time
+START_MS = 1_700_000_000_000
+LINKS = 9  # links of a loaded front; the most that a report can carry
+SAMPLED_FRONTS = 8  # members beside the aggregator that are measured
 COMMAND = "python -O -m benchmarks.capacity --only fleet"
 
 
 class UnexpectedMessageError(RuntimeError):
-    """A simulated peer sent what the protocol does not have here; no figure may be taken from such a run."""
+    """A message is not of the expected type, so that the figures of the run are invalid."""
 
 
 @dataclass(slots=True)
-class Use:
-    """What one member sent and received, and the processor time of its calls, in ns."""
+class ResourceUse:
+    """Traffic and processor time of one member.
+
+    Attributes:
+        sent: Datagrams sent.
+        sent_bytes: Bytes sent.
+        received: Datagrams received.
+        received_bytes: Bytes received.
+        processor_ns: Processor time of its calls, ns.
+    """
 
     sent: int = 0
     sent_bytes: int = 0
     received: int = 0
     received_bytes: int = 0
-    busy: int = 0
+    processor_ns: int = 0
 
 
 @dataclass(slots=True)
-class Traffic:
-    """What a front saw of its links, growing with time; an idle front saw nothing."""
+class FrontTraffic:
+    """Load observations of one front: a loaded front's counters grow with time, an idle front's stay 0."""
 
     loaded: bool
-    began: int
+    started_at: int
 
-    def seen(self, now: int) -> LoadObservations:
-        """The counters that a front would hand to its agent now."""
+    def observations(self, now: int) -> LoadObservations:
+        """Return the observations that a front would report to its agent now."""
         if not self.loaded:
             return LoadObservations(0, 0, 0, 0, {}, [], [])
-        done = (now - self.began) // 2
-        usage = LinkUsage(done, done * 2)
-        return LoadObservations(done, done, 0, 0, dict.fromkeys(range(LINKS), usage), [], [])
+        work_done = (now - self.started_at) // 2
+        usage = LinkUsage(work_done, work_done * 2)
+        return LoadObservations(work_done, work_done, 0, 0, dict.fromkeys(range(LINKS), usage), [], [])
 
 
 @dataclass(slots=True)
 class SimulatedFleet:
-    """`count` agents that exchange real datagrams in order of time; `loaded` fills their reports."""
+    """Fleet agents that exchange encoded datagrams on simulated time.
+
+    Attributes:
+        count: Number of agents.
+        loaded: Whether the agents report load on all links.
+        now: The simulated time, ns.
+        agents: The agents by number.
+        resource_use: Traffic and processor time of each agent.
+        queue: Datagrams in flight: arrival time, sequence number, sender, receiver and data.
+        datagram_count: Datagrams sent so far.
+        timed: Numbers of the agents whose processor time is measured.
+        stopped: Numbers of the agents that neither run nor receive.
+    """
 
     count: int
     loaded: bool
-    now: int = 100 * SECOND
+    now: int = 100 * NS_PER_S
     agents: list[FleetAgent] = field(default_factory=list)
-    uses: list[Use] = field(default_factory=list)
+    resource_use: list[ResourceUse] = field(default_factory=list)
     queue: list[tuple[int, int, int, int, bytes]] = field(default_factory=list)
-    number: int = 0
+    datagram_count: int = 0
     timed: frozenset[int] = frozenset()
     stopped: set[int] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        self.uses = [Use() for _ in range(self.count)]
-        for own in range(self.count):
-            settings = fleet_parameters(own, self.count)
-            settings.zone = own % 11
-            agent = FleetAgent(own, self.count, BEGAN_MS, settings, PERIOD, self.now, own)
+        self.resource_use = [ResourceUse() for _ in range(self.count)]
+        for number in range(self.count):
+            settings = fleet_parameters(number, self.count)
+            settings.zone = number % 11
+            agent = FleetAgent(number, self.count, START_MS, settings, PROBE_INTERVAL, self.now, number)
             set_established(agent.membership)
             self.agents.append(agent)
 
-    def send(self, sender: int, out: list[Outgoing[FleetMessage]]) -> None:
-        """Encode what is due and send it, one datagram for each receiver."""
-        use = self.uses[sender]
-        for one in out:
-            data = fleet_datagrams.encode(one.message)
-            receivers = self.agents[sender].membership.alive_peers() if one.to == ALL_FRONTS else (one.to,)
+    def send(self, sender: int, messages: list[Outgoing[FleetMessage]]) -> None:
+        """Encode messages and send each as one datagram per receiver."""
+        use = self.resource_use[sender]
+        for outgoing in messages:
+            data = fleet_datagrams.encode(outgoing.message)
+            receivers = (
+                self.agents[sender].membership.alive_peers() if outgoing.to == ALL_FRONTS else (outgoing.to,)
+            )
             use.sent += len(receivers)
             use.sent_bytes += len(data) * len(receivers)
             for receiver in receivers:
-                self.number += 1
-                heapq.heappush(self.queue, (self.now + DELAY, self.number, sender, receiver, data))
+                self.datagram_count += 1
+                heapq.heappush(
+                    self.queue, (self.now + DATAGRAM_DELAY, self.datagram_count, sender, receiver, data)
+                )
 
-    def tick(self, own: int, traffic: Traffic) -> None:
-        """One sweep of a front."""
+    def tick(self, number: int, traffic: FrontTraffic) -> None:
+        """Run one agent's periodic work."""
         zone_load = ZoneLoad(0.5, 100) if self.loaded else None
-        began = time.process_time_ns() if own in self.timed else 0
-        self.send(own, self.agents[own].tick(self.now, lambda: traffic.seen(self.now), lambda: zone_load))
-        self.uses[own].busy += time.process_time_ns() - began if began else 0
-
-    def receive(self, sender: int, own: int, data: bytes) -> None:
-        """One datagram at its receiver."""
-        use = self.uses[own]
+        started_at = time.process_time_ns() if number in self.timed else 0
+        self.send(
+            number,
+            self.agents[number].tick(self.now, lambda: traffic.observations(self.now), lambda: zone_load),
+        )
+        self.resource_use[number].processor_ns += time.process_time_ns() - started_at if started_at else 0
+
+    def receive(self, sender: int, number: int, data: bytes) -> None:
+        """Have an agent handle a datagram. Raises `UnexpectedMessageError`."""
+        use = self.resource_use[number]
         use.received += 1
         use.received_bytes += len(data)
-        began = time.process_time_ns() if own in self.timed else 0
+        started_at = time.process_time_ns() if number in self.timed else 0
         message = fleet_datagrams.decode(data)
         if message is None:
-            raise UnexpectedMessageError(f"not a fleet datagram: {data!r}")
-        self.send(own, self.agents[own].receive(sender, message, self.now))
-        use.busy += time.process_time_ns() - began if began else 0
+            raise UnexpectedMessageError(f"expected a fleet datagram, received {data!r}")
+        self.send(number, self.agents[number].receive(sender, message, self.now))
+        use.processor_ns += time.process_time_ns() - started_at if started_at else 0
 
     def run(self, seconds: int) -> None:
-        """Pass so many simulated seconds."""
-        self.pass_time(seconds * SECOND)
+        """Run for this many simulated seconds."""
+        self.advance(seconds * NS_PER_S)
 
-    def pass_time(self, duration: int) -> None:
-        """Pass so much simulated time, in ns."""
-        traffic, end = Traffic(self.loaded, 100 * SECOND - PERIOD), self.now + duration
+    def advance(self, duration: int) -> None:
+        """Advance the simulated time by this many ns."""
+        traffic, end = FrontTraffic(self.loaded, 100 * NS_PER_S - PROBE_INTERVAL), self.now + duration
         while self.now < end:
-            self.now += STEP
+            self.now += TIME_STEP
             while self.queue and self.queue[0][0] <= self.now:
-                _, _, sender, own, data = heapq.heappop(self.queue)
-                if own not in self.stopped:
-                    self.receive(sender, own, data)
-            offset = self.now // STEP % (TICK // STEP)
-            for own in range(offset, self.count, TICK // STEP):
-                if own not in self.stopped:
-                    self.tick(own, traffic)
+                _, _, sender, number, data = heapq.heappop(self.queue)
+                if number not in self.stopped:
+                    self.receive(sender, number, data)
+            offset = self.now // TIME_STEP % (TICK // TIME_STEP)
+            for number in range(offset, self.count, TICK // TIME_STEP):
+                if number not in self.stopped:
+                    self.tick(number, traffic)
 
     def aggregator(self) -> int:
-        """Return the number of the leader for the load view."""
+        """Return the number of the leader, which aggregates the load view."""
         return next(number for number, agent in enumerate(self.agents) if agent.leadership.is_leader)
 
 
 def set_established(members: Membership) -> None:
-    """As if all had been up for long: each start is known, and there is no news."""
+    """Put a membership into the state of a long-running fleet: all starts known, no updates queued."""
     for member in members.members.values():
-        member.started_ms, member.changed_at = BEGAN_MS, members.last_tick_at - 100 * PERIOD
+        member.started_ms, member.changed_at = START_MS, members.last_tick_at - 100 * PROBE_INTERVAL
     members.update_queue.clear()
 
 
 def measure(count: int, loaded: bool) -> list[Point]:
-    """The figures of one size of the fleet, by role."""
+    """Measure a fleet of one size, separately for the view aggregator and the mean of other fronts."""
     fleet = SimulatedFleet(count, loaded)
-    fleet.run(SETTLING_TIME)
-    holder = fleet.aggregator()
-    others = [number for number in range(count) if number != holder]
-    sampled = others[:: max(1, len(others) // SAMPLED)]
-    fleet.uses = [Use() for _ in range(count)]
-    fleet.timed = frozenset([holder, *sampled])
-    fleet.run(MEASURE)
+    fleet.run(SETTLING_SECONDS)
+    aggregator = fleet.aggregator()
+    others = [number for number in range(count) if number != aggregator]
+    sampled = others[:: max(1, len(others) // SAMPLED_FRONTS)]
+    fleet.resource_use = [ResourceUse() for _ in range(count)]
+    fleet.timed = frozenset([aggregator, *sampled])
+    fleet.run(MEASURED_SECONDS)
     kind = "loaded" if loaded else "idle"
     found = []
-    for role, numbers in (("view aggregator", [holder]), ("front", sampled)):
-        uses = [fleet.uses[number] for number in numbers]
+    for role, numbers in (("view aggregator", [aggregator]), ("front", sampled)):
+        resource_use = [fleet.resource_use[number] for number in numbers]
         for quantity, unit, values in (
-            ("bytes sent", "B/s", [use.sent_bytes / MEASURE for use in uses]),
-            ("bytes received", "B/s", [use.received_bytes / MEASURE for use in uses]),
-            ("datagrams sent", "1/s", [use.sent / MEASURE for use in uses]),
-            ("datagrams received", "1/s", [use.received / MEASURE for use in uses]),
-            ("processor time", "core", [use.busy / MEASURE / SECOND for use in uses]),
+            ("bytes sent", "B/s", [use.sent_bytes / MEASURED_SECONDS for use in resource_use]),
+            ("bytes received", "B/s", [use.received_bytes / MEASURED_SECONDS for use in resource_use]),
+            ("datagrams sent", "1/s", [use.sent / MEASURED_SECONDS for use in resource_use]),
+            ("datagrams received", "1/s", [use.received / MEASURED_SECONDS for use in resource_use]),
+            (
+                "processor time",
+                "core",
+                [use.processor_ns / MEASURED_SECONDS / NS_PER_S for use in resource_use],
+            ),
         ):
             name = f"fleet {kind} {role} {quantity}"
             at = {"fronts": count}
@@ -182,23 +213,23 @@
 
 
 def member_memory(count: int) -> Point:
-    """Bytes that one member table takes."""
+    """Measure the memory of one member table."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    members = Membership(0, count, BEGAN_MS, PERIOD, SECOND, 1)
+    members = Membership(0, count, START_MS, PROBE_INTERVAL, NS_PER_S, 1)
     set_established(members)
     for member in members.members.values():
-        member.started_ms, member.suspected_by = BEGAN_MS + member.incarnation, {0}
+        member.started_ms, member.suspected_by = START_MS + member.incarnation, {0}
     used = tracemalloc.get_traced_memory()[0] - before + sys.getsizeof(members.update_queue.entries)
     tracemalloc.stop()
     return Point("fleet front member table", "front", "memory", "B", {"fronts": count}, used, COMMAND)
 
 
 def run(quick: bool) -> tuple[list[Point], list[Slope]]:
-    """All sizes; the slopes by fronts."""
+    """Measure fleets of all sizes and fit the slopes by fronts."""
     sizes = (50, 200) if quick else (50, 200, 730, 1460)
     points = [member_memory(count) for count in sizes]
     for loaded in (False, True):
         for count in sizes:
             points += measure(count, loaded)
-    return points, fitted_by_name(points, "fronts")
+    return points, fit_slopes_by_name(points, "fronts")
--- a/benchmarks/capacity/front_process.py
+++ b/benchmarks/capacity/front_process.py
@@ -1,4 +1,4 @@
-"""One real front under test on loopback: its process, stand-in caches that answer at once, and clients."""
+"""One real front process on loopback, with clients and with stand-in caches that answer at once."""
 
 from __future__ import annotations
 
@@ -25,36 +25,34 @@
 )
 from marbleglade.testing.sockets import free_port
 
-from .hosted_front import object_number
+from .hosted_front import nth_object_id
 
 MEMORY_MB = 1024
 DESCRIPTORS = 1024
-FLOW_BYTES_PER_S = (
-    1_000_000_000  # bytes a second of one transfer, where the front keeps copies: never the limit here
-)
+FLOW_BYTES_PER_S = 1_000_000_000  # of one transfer, if the front keeps copies: so high that it never limits
 TIMEOUT_MS = 2500
 READY_SECONDS = 20.0
 CLASS_NAME = "dish-media"
 
 
 class FrontFailedError(RuntimeError):
-    """The front did not answer as it must; no figure may be taken from such a run."""
+    """The front did not answer or stop as expected, so that the figures of the run are invalid."""
 
 
 class FrontProcess(UnwrappedProcess):
-    """`python -O -m marbleglade` with its configuration."""
+    """The process `python -O -m marbleglade` of a front."""
 
     def descriptors(self) -> int:
-        """Open file descriptors."""
+        """Return the number of open file descriptors."""
         return len(os.listdir(f"/proc/{self.running.pid}/fd"))
 
 
-class FrontBench:
-    """A front before `caches` stand-in caches that hold every object that is asked for.
+class FrontTestbed:
+    """A front with `caches` stand-in caches, which hold every object that is requested.
 
     Args:
-        folder: Where its configuration and log go.
-        caches: How many stand-in caches are listed.
+        folder: Folder for the configuration and log of the front.
+        caches: Number of stand-in caches.
         keeps_copies: Whether the front keeps copies of its own.
     """
 
@@ -95,7 +93,7 @@
         return path
 
     def _wait_ready(self) -> None:
-        with gevent.Timeout(READY_SECONDS, FrontFailedError("the front did not get ready")):
+        with gevent.Timeout(READY_SECONDS, FrontFailedError("the front was not ready in time")):
             while True:
                 with suppress(OSError):
                     client = Client(self.address)
@@ -106,9 +104,9 @@
                 gevent.sleep(0.05)
 
     def fill_caches(self, first: int, count: int, size: int) -> list[int]:
-        """So many objects of that size at all caches; gives their numbers."""
+        """Put `count` objects of `size` bytes into all caches and return their IDs."""
         issued = time.time_ns() // NS_PER_MS
-        found = [object_number(number) for number in range(first, first + count)]
+        found = [nth_object_id(number) for number in range(first, first + count)]
         for object_id in found:
             body = object_id.to_bytes(8) * (size // 8)
             self.bodies[object_id] = body
@@ -119,35 +117,40 @@
         return found
 
     def connect(self, count: int) -> None:
-        """Open client connections until there are so many."""
+        """Open client connections until there are `count`."""
         while len(self.clients) < count:
             self.clients.append(Client(self.address, len(self.clients) + 1))
 
     def request_all(self, object_ids: list[int], workers: int) -> None:
-        """Ask for each object once, `workers` at a time, one on each connection; check every response.
+        """Request each object once, with `workers` connections at a time, and check every response.
 
-        Raises `FrontFailedError` where any was not answered with its bytes.
+        Raises `FrontFailedError` if a response is missing or has other bytes than the object.
         """
         self.connect(workers)
-        left = list(reversed(object_ids))
+        remaining = list(reversed(object_ids))
         failed: list[str] = []
 
-        def work(client: Client) -> None:
-            while left:
-                object_id = left.pop()
+        def send_requests(client: Client) -> None:
+            while remaining:
+                object_id = remaining.pop()
                 response = client.request(CLASS_NAME, object_id, timeout_ms=TIMEOUT_MS)
                 if response is None or response.body != self.bodies[object_id]:
                     failed.append(f"{object_id:016x}: {response.status if response else 'no answer'}")
 
-        gevent.joinall([gevent.spawn(work, client) for client in self.clients[:workers]], raise_error=True)
-        broken = sum(client.duplicate_responses + client.malformed_responses for client in self.clients)
-        if failed or broken:
+        gevent.joinall(
+            [gevent.spawn(send_requests, client) for client in self.clients[:workers]], raise_error=True
+        )
+        unexpected_responses = sum(
+            client.duplicate_responses + client.malformed_responses for client in self.clients
+        )
+        if failed or unexpected_responses:
             raise FrontFailedError(
-                f"{len(failed)} of {len(object_ids)} failed, {broken} broken: {failed[:3]}"
+                f"{len(failed)} of {len(object_ids)} requests failed, the first are {failed[:3]}; "
+                f"{unexpected_responses} duplicate or malformed responses"
             )
 
     def close(self) -> None:
-        """End the front and all stand-ins. Raises `FrontFailedError` where it did not end well."""
+        """Stop the front and stand-ins. Raises `FrontFailedError` if the front failed or counted errors."""
         for client in self.clients:
             client.close()
         returned = self.process.stop()
@@ -157,4 +160,6 @@
         prefixes = ("exception.", "violated_invariant.")
         faults = [name for name in self.process.counters() if name.startswith(prefixes)]
         if returned or faults:
-            raise FrontFailedError(f"the front ended with {returned}, counted {faults}")
+            raise FrontFailedError(
+                f"the front ended with exit code {returned} and counted these errors: {faults}"
+            )
--- a/benchmarks/capacity/maintenance.py
+++ b/benchmarks/capacity/maintenance.py
@@ -1,7 +1,7 @@
-"""What the leader of the maintenance lease quorum sends by the number of fronts, on simulated time.
+"""Traffic of the leader of the maintenance lease quorum by the number of fronts, on simulated time.
 
-Nine fronts are voters; the recorded lines named "quorum" are of a tree where every front was. The figures are
-those of an order in force with some machines out, without losses.
+Nine fronts are voters. The recorded slopes named "quorum" are of an earlier tree, where every front was one.
+The figures are taken while a plan is active and some machines are out of service, without datagram losses.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from marbleglade.protocols import maintenance_datagrams
 from marbleglade.testing.simulated_datagrams import SimulatedNetwork
 
-from .fit import fitted_by_name
+from .fit import fit_slopes_by_name
 from .records import Point, Slope
 
-ELECTION_S, MEASURE_S = 6.0, 12.0  # simulated: until a leader is elected, and of the measurement
-OUT_AT_ONCE = 4
-LASTING_NS = 600 * 1_000_000_000  # of the work on one machine: nobody comes back during the measurement
+ELECTION_S, MEASURE_S = 6.0, 12.0  # simulated time for an election, and for the measurement
+MAX_MACHINES_OUT = 4
+WORK_DURATION_NS = 600 * 1_000_000_000  # so long that no machine returns during the measurement
 COMMAND = "python -O -m benchmarks.capacity --only maintenance"
 
 
@@ -32,7 +32,7 @@
         self.received: dict[int, list[int]] = {}
 
     def send(self, sender: int, to: int, data: bytes, now: int) -> None:
-        """Pass a datagram on."""
+        """Send a datagram and count it if it is one of the quorum."""
         if isinstance(maintenance_datagrams.decode(data), VoteRequest | Vote | Append | AppendReply):
             self.sent.setdefault(sender, []).append(len(data))
             self.received.setdefault(to, []).append(len(data))
@@ -40,34 +40,34 @@
 
 
 def measure(fronts: int) -> list[Point]:
-    """The leader's traffic and that of another front."""
-    world = MaintenanceSimulation(fronts, 0, 1, work_duration=LASTING_NS)
-    air = world.network = CountingNetwork(1, world.deliver)
-    world.run(ELECTION_S)
+    """Measure the traffic of the leader and of one other front."""
+    simulation = MaintenanceSimulation(fronts, 0, 1, work_duration=WORK_DURATION_NS)
+    network = simulation.network = CountingNetwork(1, simulation.deliver)
+    simulation.run(ELECTION_S)
     names = [front_name(number) for number in range(fronts)]
-    world.submit_plan(names, [ConcurrencyLimit(OUT_AT_ONCE, Kind.FRONT)], takes_ms=600_000)
-    world.run(ELECTION_S)
-    air.sent.clear()
-    air.received.clear()
-    world.run(MEASURE_S)
+    simulation.submit_plan(names, [ConcurrencyLimit(MAX_MACHINES_OUT, Kind.FRONT)], takes_ms=600_000)
+    simulation.run(ELECTION_S)
+    network.sent.clear()
+    network.received.clear()
+    simulation.run(MEASURE_S)
     leader = next(
-        number for number, front in world.fronts.items() if front.coordinator.quorum.member.is_leader
+        number for number, front in simulation.fronts.items() if front.coordinator.quorum.member.is_leader
     )
-    other = next(number for number in world.fronts if number != leader)
+    other = next(number for number in simulation.fronts if number != leader)
     found = []
     for role, number in (("maintenance leader", leader), ("front", other)):
         for quantity, sizes in (
-            ("sent", air.sent.get(number, [])),
-            ("received", air.received.get(number, [])),
+            ("sent", network.sent.get(number, [])),
+            ("received", network.received.get(number, [])),
         ):
-            for what, unit, value in (("datagrams", "1/s", len(sizes)), ("bytes", "B/s", sum(sizes))):
-                name = f"{role} with nine voters {what} {quantity}"
+            for counted, unit, value in (("datagrams", "1/s", len(sizes)), ("bytes", "B/s", sum(sizes))):
+                name = f"{role} with nine voters {counted} {quantity}"
                 at = {"fronts": fronts}
-                found.append(Point(name, role, f"{what} {quantity}", unit, at, value / MEASURE_S, COMMAND))
+                found.append(Point(name, role, f"{counted} {quantity}", unit, at, value / MEASURE_S, COMMAND))
     return found
 
 
 def run(quick: bool) -> tuple[list[Point], list[Slope]]:
-    """All sizes; the slopes by fronts."""
+    """Measure fleets of all sizes and fit the slopes by fronts."""
     points = [point for fronts in ((50, 200) if quick else (50, 200, 730)) for point in measure(fronts)]
-    return points, fitted_by_name(points, "fronts")
+    return points, fit_slopes_by_name(points, "fronts")
--- a/benchmarks/capacity/markdown.py
+++ b/benchmarks/capacity/markdown.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterable
 
 VERDICTS = {True: "kept", False: "**not kept**", None: "not measured"}
-"""The word for a budget: kept, not kept, or without a figure."""
+"""Text by whether a budget is kept; None: there is no figure."""
 
 
 def table(head: Iterable[str], body: Iterable[Iterable[str]]) -> list[str]:
-    """The lines of a table."""
+    """Return the lines of a table."""
     head = list(head)
     return [_line(head), _line("---" for _ in head), *map(_line, body)]
 
--- a/benchmarks/capacity/number_format.py
+++ b/benchmarks/capacity/number_format.py
@@ -1,4 +1,4 @@
-"""Figures as the page shows them: three digits, with a prefix of the unit."""
+"""Formats figures for the capacity page: three significant digits, and a prefix of the unit."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 PREFIXES = ((1e12, "T"), (1e9, "G"), (1e6, "M"), (1e3, "k"), (1.0, ""), (1e-3, "m"), (1e-6, "µ"), (1e-9, "n"))
 DIGITS = 3
-UNITLESS = ("1", "", "1/s", "core")  # units that take no prefix
-NEVER_SMALL = ("B", "B/s")  # units of which no thousandths are shown: mB would read as MB
+UNITS_WITHOUT_PREFIX = ("1", "", "1/s", "core")
+UNITS_WITHOUT_SMALL_PREFIX = ("B", "B/s")  # mB would be read as MB
 
 
-def digits(value: float) -> str:
-    """A number with three digits, thousands set off, never in powers of ten."""
+def number_text(value: float) -> str:
+    """Format a number with three significant digits and separated thousands, without an exponent."""
     if value == 0:
         return "0"
     decimals = max(0, DIGITS - 1 - math.floor(math.log10(abs(value))))
@@ -20,19 +20,19 @@
 
 
 def with_unit(value: float, unit: str) -> str:
-    """A figure with its unit, as "113 kB/s"."""
-    if unit in UNITLESS:
-        return f"{digits(value)} {unit}".removesuffix(" 1").rstrip()
-    if value == 0 or (unit in NEVER_SMALL and abs(value) < 1):
-        return f"{digits(value)} {unit}"
+    """Format a figure with its unit, such as "113 kB/s"."""
+    if unit in UNITS_WITHOUT_PREFIX:
+        return f"{number_text(value)} {unit}".removesuffix(" 1").rstrip()
+    if value == 0 or (unit in UNITS_WITHOUT_SMALL_PREFIX and abs(value) < 1):
+        return f"{number_text(value)} {unit}"
     scale, prefix = next(
         ((scale, prefix) for scale, prefix in PREFIXES if abs(value) >= scale * 0.9995), PREFIXES[-1]
     )
-    return f"{digits(value / scale)} {prefix}{unit}"
+    return f"{number_text(value / scale)} {prefix}{unit}"
 
 
-def line(intercept: float, per: dict[str, float], unit: str) -> str:
-    """A formula, as "54 B + 16 B a zone"."""
+def formula(intercept: float, per: dict[str, float], unit: str) -> str:
+    """Format a slope as a formula, such as "54 B + 16 B a zone"."""
     parts = [with_unit(intercept, unit)]
     for variable, each in per.items():
         sign = "-" if each < 0 else "+"
--- a/benchmarks/capacity/operators.py
+++ b/benchmarks/capacity/operators.py
@@ -1,51 +1,51 @@
-"""What the operators expect within two years, and the size of one front at work."""
+"""The deployment that operators expect within two years, their budgets, and the state of a busy front."""
 
 FRONTS = 730
-TWICE = 2 * FRONTS
+DOUBLED_FRONTS = 2 * FRONTS
 CACHES = 78
 ZONES = 11
-REQUESTS_PER_S = 470_000
-BITS_PER_S = 4.8e12
-PURGES_PER_S = 12
+PEAK_REQUESTS_PER_S = 470_000
+PEAK_BITS_PER_S = 4.8e12
+EXPECTED_PURGES_PER_S = 12
 CHANGES_PER_DAY = 1300
 CONTROL_MACHINES = 8
 
-# What control may cost a front, and how soon it must act.
-CORE_SHARE = 0.016
-MEMORY_BYTES = 128_000_000
-BYTES_PER_S = 6_000
-PURGE_SECONDS = 2.6
-CONFIGURATION_SECONDS = 5.0
+# Budgets: the most that control may cost a front, and the time in which it must take effect.
+MAX_CORE_SHARE = 0.016
+MAX_MEMORY_BYTES = 128_000_000
+MAX_BYTES_PER_S = 6_000
+MAX_PURGE_SECONDS = 2.6
+MAX_CONFIGURATION_SECONDS = 5.0
 
-LARGEST_PART = 240_000  # bytes: the clients' protocol carries no larger body
+LARGEST_PART_BYTES = 240_000  # limit of a body in the clients' protocol
 
-# One front at work: a full directory, copies of its own and requests open at a time.
+# State of one busy front: a full directory, its own copies and its open requests.
 DIRECTORY_ENTRIES = 8192
 COPIES = 8192
 OPEN_REQUESTS = 1000
 
-_SIZES: dict[str, float] = {
+_FIXED_VARIABLES: dict[str, float] = {
     "cache": CACHES,
     "zone": ZONES,
-    "purge_per_s": PURGES_PER_S,
+    "purge_per_s": EXPECTED_PURGES_PER_S,
     "directory_entry": DIRECTORY_ENTRIES,
     "copy": COPIES,
     "open_request": OPEN_REQUESTS,
     "retained_purge": 65_536,
-    "recent_purge": PURGES_PER_S * 12,
-    "object_byte": LARGEST_PART,
+    "recent_purge": EXPECTED_PURGES_PER_S * 12,
+    "object_byte": LARGEST_PART_BYTES,
     "copy_byte": 170_000_000,
     "client": 128,
 }
 
 
-def sizes(fronts: int) -> dict[str, float]:
-    """What each variable of a slope is with so many fronts; purges of the last 12 s are recent.
+def slope_variables(fronts: int) -> dict[str, float]:
+    """Return the value of each variable of slopes with this many fronts; purges of the last 12 s are recent.
 
-    A variable that is a product, as "front_purge_per_s", is that of its factors.
+    A variable such as "front_purge_per_s" is the product of its factors.
     """
-    return _SIZES | {
+    return _FIXED_VARIABLES | {
         "front": fronts,
-        "front_purge_per_s": fronts * PURGES_PER_S,
-        "purge_per_s_directory_entry": PURGES_PER_S * DIRECTORY_ENTRIES,
+        "front_purge_per_s": fronts * EXPECTED_PURGES_PER_S,
+        "purge_per_s_directory_entry": EXPECTED_PURGES_PER_S * DIRECTORY_ENTRIES,
     }
--- a/benchmarks/capacity/records.py
+++ b/benchmarks/capacity/records.py
@@ -1,4 +1,4 @@
-"""The recorded form of a measurement: single points, and slopes that were fitted to them.
+"""Records of measurements: files with measured points, and with slopes that were fitted to them.
 
 Slopes have the fields that `benchmarks/measurements/README.md` describes for all recorded files.
 """
@@ -11,13 +11,13 @@
 from pathlib import Path
 from typing import Any
 
-RECORDED = Path(__file__).parent.parent / "measurements"
+RECORD_FOLDER = Path(__file__).parent.parent / "measurements"
 
-JsonObject = dict[str, Any]  # as decoded
+JsonObject = dict[str, Any]  # a decoded JSON object
 
 
 class InvalidRecordError(ValueError):
-    """A measurement file can't be read as one; the text says why."""
+    """A recorded file can't be read, or lacks a figure; the text names the file or the figure."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,13 +25,13 @@
     """One measured figure, and the sizes at which it was measured.
 
     Attributes:
-        name: Of the measurement; the slope of the same name is fitted to its points.
-        role: Of the process that the figure belongs to, as "front" or "view aggregator".
-        quantity: What was measured, as "bytes sent".
-        unit: Of `value`.
-        at: The sizes, by name, as {"fronts": 730}.
-        value: The figure.
-        command: That measures it.
+        name: Name of the measurement; the slope of the same name is fitted to its points.
+        role: Role of the measured process, such as "front" or "view aggregator".
+        quantity: The measured quantity, such as "bytes sent".
+        unit: Unit of `value`.
+        at: Sizes of the deployment by name, such as {"fronts": 730}.
+        value: The measured figure.
+        command: Command that measures the figure.
     """
 
     name: str
@@ -45,15 +45,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A line through points: `intercept` plus `per` of each variable.
+    """A linear function fitted to points: `intercept` plus, for each variable, `per` times its value.
 
     Attributes:
-        intercept: The figure where all variables are 0, in `unit`.
-        per: Variable, as "front", to how much one more of it adds, in `unit`.
+        name: Name of the measurement and of its points.
+        role: Role of the measured process.
+        quantity: The measured quantity.
+        unit: Unit of the quantity.
+        intercept: Value where all variables are 0, in `unit`.
+        per: Increase for each variable, such as "front", by its name, in `unit`.
         error: Standard error of the residuals, in `unit`.
-        standard_errors: Of the intercept ("intercept") and of each variable in `per`.
-        range: Size, as "fronts", to the least and the largest at which it was measured.
-        points: How many points it was fitted to.
+        standard_errors: Standard errors of "intercept" and of each variable in `per`.
+        range: Least and greatest value of each size, such as "fronts", at which it was measured.
+        points: Number of points that it was fitted to.
+        command: Command that measures the points.
+        mode: Mode of the scale run that was measured, or "".
     """
 
     name: str
@@ -69,23 +75,23 @@
     command: str
     mode: str = ""
 
-    def at(self, **variables: float) -> float:
-        """The figure by the line; a variable that is not named counts as 0."""
+    def value_at(self, **variables: float) -> float:
+        """Return the value of the function; a variable that is not given counts as 0."""
         return self.intercept + sum(each * variables.get(name, 0.0) for name, each in self.per.items())
 
 
 @dataclass(frozen=True, slots=True)
 class Conditions:
-    """When, where and of which commit the points and slopes of one measurement were taken.
+    """When, where and on which commit a measurement was made.
 
     Attributes:
-        taken: The date.
-        machine: Its cores, the version of Python and the network.
-        busy: Other work may have disturbed the figures.
-        load_before: Load average of a minute when the measurement began.
-        load_after: Load average of a minute when it ended.
-        commit: Abbreviated, with "-dirty" where the program's own tree had changes.
-        quick: Few sizes were measured.
+        taken: Date of the measurement.
+        machine: Number of cores, version of Python and kind of network.
+        busy: Whether other work may have disturbed the figures.
+        load_before: Load average of the last minute at the start.
+        load_after: Load average of the last minute at the end.
+        commit: Abbreviated commit, followed by "-dirty" if `marbleglade` had uncommitted changes.
+        quick: Whether only few sizes were measured.
     """
 
     taken: str
@@ -98,64 +104,64 @@
 
 
 @dataclass(slots=True)
-class Measurement:
-    """One recorded file: its points and slopes, and by measurement the conditions of the latest run."""
+class CapacityRecord:
+    """The content of `capacity.json`: points, slopes, and by measurement the conditions of its latest run."""
 
     conditions: dict[str, Conditions] = field(default_factory=dict)
     points: list[Point] = field(default_factory=list)
     slopes: list[Slope] = field(default_factory=list)
 
     def slope(self, name: str) -> Slope:
-        """The slope of that name. Raises `InvalidRecordError` where there is none."""
+        """Return the slope of this name. Raises `InvalidRecordError` if there is none."""
         for slope in self.slopes:
             if slope.name == name:
                 return slope
-        raise InvalidRecordError(f"there is no slope {name!r}")
+        raise InvalidRecordError(f"the record has no slope {name!r}")
 
     def value(self, name: str, **sizes: float) -> float:
-        """The measured figure of that name at these sizes. Raises `InvalidRecordError`."""
+        """Return the figure of this name at these sizes. Raises `InvalidRecordError` if there is none."""
         for point in self.points:
             if point.name == name and sizes.items() <= point.at.items():
                 return point.value
-        raise InvalidRecordError(f"there is no point {name!r} at {sizes}")
+        raise InvalidRecordError(f"the record has no point {name!r} at {sizes}")
 
     def replace(self, points: list[Point], slopes: list[Slope]) -> None:
-        """Take in a newer run of some measurements in place of the earlier run of the same names."""
+        """Replace all points and slopes of the names that the new points and slopes have."""
         names = {point.name for point in points} | {slope.name for slope in slopes}
         self.points = [point for point in self.points if point.name not in names] + points
         self.slopes = [slope for slope in self.slopes if slope.name not in names] + slopes
 
 
-def load(path: Path) -> Measurement:
-    """Read a measurement file. Raises `InvalidRecordError`, also where there is no file."""
-    content = load_object(path)
+def load_record(path: Path) -> CapacityRecord:
+    """Read a recorded file. Raises `InvalidRecordError`, also if the file is missing."""
+    content = load_json_object(path)
     try:
         points = [Point(**one) for one in content.pop("points")]
-        slopes = [read_slope(one) for one in content.pop("slopes")]
+        slopes = [slope_from_json(one) for one in content.pop("slopes")]
         conditions = {name: Conditions(**value) for name, value in content.items()}
     except (KeyError, TypeError) as error:
         raise InvalidRecordError(f"{path.name}: {error!r}") from error
-    return Measurement(conditions, points, slopes)
+    return CapacityRecord(conditions, points, slopes)
 
 
-def load_object(path: Path) -> JsonObject:
+def load_json_object(path: Path) -> JsonObject:
     """Read a file that holds one JSON object. Raises `InvalidRecordError`."""
     try:
         content = json.loads(path.read_text())
     except (OSError, ValueError) as error:
         raise InvalidRecordError(f"{path.name}: {error}") from error
     if not isinstance(content, dict):
-        raise InvalidRecordError(f"{path.name}: it holds no object")
+        raise InvalidRecordError(f"{path.name}: the content is not a JSON object")
     return content
 
 
-def read_slope(content: JsonObject) -> Slope:
-    """A recorded slope. Raises `TypeError` where a field is missing or not known."""
+def slope_from_json(content: JsonObject) -> Slope:
+    """Build a slope from JSON. Raises `TypeError` if a field is missing or unknown."""
     return Slope(**content)
 
 
-def save(path: Path, measurement: Measurement) -> None:
-    """Write a measurement file, one point or slope a line, so that a change of one shows as one."""
+def save_record(path: Path, measurement: CapacityRecord) -> None:
+    """Write a recorded file with one point or slope per line, so that a diff shows each change on its own."""
     path.parent.mkdir(exist_ok=True)
     parts = [
         f"{json.dumps(name)}: {json.dumps(asdict(conditions))}"
--- a/benchmarks/capacity/scale_record.py
+++ b/benchmarks/capacity/scale_record.py
@@ -1,16 +1,16 @@
-"""The recorded scale run, `benchmarks/measurements/scale.json`, as far as the capacity page needs it."""
+"""The part of the recorded scale run, `benchmarks/measurements/scale.json`, that the capacity page needs."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from .records import InvalidRecordError, JsonObject, Slope, load_object, read_slope
+from .records import InvalidRecordError, JsonObject, Slope, load_json_object, slope_from_json
 
 
 @dataclass(frozen=True, slots=True)
 class ScaleBudget:
-    """A budget with the figure of the run against it; `kept` is None where nothing was measured."""
+    """A budget and the measured figure of the run; `measured` and `kept` are None if nothing was measured."""
 
     name: str
     limit: float
@@ -22,9 +22,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ScaleRecord:
-    """One run of `python -m benchmarks.scale`; its fields are those of the measurements' README.
+    """One run of `python -m benchmarks.scale`, with the fields that the measurements' README describes.
 
-    A sweep of fronts that watch the discovery service themselves alone has no budgets.
+    A run that measures only fronts which watch the discovery service themselves has no budgets.
     """
 
     taken: str
@@ -43,16 +43,18 @@
 
 
 def load_scale(path: Path) -> ScaleRecord:
-    """Read the file. Raises `InvalidRecordError`."""
-    content = load_object(path)
+    """Read a recorded scale run. Raises `InvalidRecordError`, also if the file is missing."""
+    content = load_json_object(path)
     try:
         return ScaleRecord(
-            **{name: content[name] for name in ScaleRecord.__dataclass_fields__ if name not in _PARTS},
-            slopes=[read_slope(one) for one in content["slopes"]],
+            **{
+                name: content[name] for name in ScaleRecord.__dataclass_fields__ if name not in _PARSED_FIELDS
+            },
+            slopes=[slope_from_json(one) for one in content["slopes"]],
             budgets=[ScaleBudget(**one) for one in content.get("budgets", ())],
         )
     except (KeyError, TypeError) as error:
         raise InvalidRecordError(f"{path.name}: {error!r}") from error
 
 
-_PARTS = ("slopes", "budgets")
+_PARSED_FIELDS = ("slopes", "budgets")
--- a/benchmarks/capacity/tables.py
+++ b/benchmarks/capacity/tables.py
@@ -1,4 +1,4 @@
-"""The tables of the capacity page by the names in its marks; each is made from the recorded files alone."""
+"""The functions that generate the tables of the capacity page, by the names in its marks."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 from . import budget_tables, cost_tables
 from .failures import failure_table
-from .records import Measurement
+from .records import CapacityRecord
 from .scale_record import ScaleRecord
 
-Table = Callable[[Measurement, ScaleRecord | None], list[str]]
+Table = Callable[[CapacityRecord, ScaleRecord | None], list[str]]
 
 TABLES: dict[str, Table] = {
-    "first": budget_tables.first,
-    "before": budget_tables.before,
-    "with-control": budget_tables.with_control,
-    "still": budget_tables.still,
+    "first": budget_tables.most_exceeded,
+    "before": budget_tables.without_control_plane,
+    "with-control": budget_tables.with_control_plane,
+    "still": budget_tables.unmet,
     "purge-cost": budget_tables.purge_cost,
     "totals": cost_tables.totals,
     "front-machine": cost_tables.front_machine,
--- a/benchmarks/simulated_fleet/front.py
+++ b/benchmarks/simulated_fleet/front.py
@@ -27,14 +27,14 @@
 
 
 class Simulation(Protocol):
-    """What a front needs of the simulation that it is part of."""
+    """The interface of the simulation that a front runs in."""
 
     now: int
     seed: int
     count: int
 
     def serve_attempt(self, front: SimulatedFront, attempt: Attempt, only_if_cached: bool) -> None:
-        """Begin to serve an attempt."""
+        """Start an attempt at its upstream."""
 
     def cancel_attempt(self, front: SimulatedFront, attempt: Attempt) -> None:
         """Cancel an attempt."""
@@ -43,10 +43,10 @@
         """Give a request its final answer."""
 
     def schedule_wakeup(self, front: SimulatedFront, after: int) -> None:
-        """Call the front's `on_timer` after so many nanoseconds."""
+        """Call the front's `on_timer` after `after` ns."""
 
     def count_probe(self) -> None:
-        """Note that a load probe was sent."""
+        """Count a load probe."""
 
     def send_datagrams(self, front: SimulatedFront, messages: Iterable[Outgoing[FleetMessage]]) -> None:
         """Send messages to other fronts."""
@@ -56,7 +56,7 @@
     """The host of one front's policy.
 
     Args:
-        simulation: What it is part of.
+        simulation: The simulation that the front runs in.
         number: The front's number, from 0.
         cache_count: Number of caches.
         parent_count: Number of parents.
@@ -103,7 +103,7 @@
         only_if_cached: bool = False,
         cache_locally: bool = False,
     ) -> Attempt:
-        """Have the simulated upstream serve an attempt; of the options only `only_if_cached` is simulated."""
+        """Start an attempt at its simulated upstream; of the options only `only_if_cached` has an effect."""
         del max_age, join_fill, refresh, cache_locally
         attempt = self.begin_attempt(request, upstream, fill_source, timeout, cache_priority)
         self.simulation.serve_attempt(self, attempt, only_if_cached)
@@ -127,15 +127,15 @@
         self.simulation.answer(self, request, served=False)
 
     def schedule_wakeup(self, after: int) -> None:
-        """Set the policy's timer."""
+        """Call the policy's timer after `after` ns."""
         self.simulation.schedule_wakeup(self, after)
 
     def on_timer(self) -> None:
-        """Call the policy's timer."""
+        """Run the policy's work that is due."""
         self.policy.on_timer()
 
     def probe_load(self, upstream: Upstream) -> None:
-        """Answer a load probe at once."""
+        """Count a load probe and record its fixed result at once."""
         self.simulation.count_probe()
         upstream.congestion, upstream.reported_at = REPORTED_CONGESTION, self.now()
         self._last_probed = upstream
--- a/benchmarks/simulated_fleet/measurements.py
+++ b/benchmarks/simulated_fleet/measurements.py
@@ -1,4 +1,4 @@
-"""What is measured of a simulated fleet."""
+"""Figures that are measured in a simulated fleet."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 from marbleglade.testing.policy_stub import NS_PER_MS, NS_PER_S
 
-MIN_FIRST_ATTEMPTS = 20  # in a second at one upstream, below which a ratio means nothing
-RECOVERED_SHARE = 0.95  # of what was served before
-RECOVERY_STEP, MAX_RECOVERY_STEPS = 0.5, 12  # seconds, and steps after which it counts as not recovered
-BASELINE = (2, 4)  # seconds, before the fault
-MUCH_LARGER = 2  # over the size of a rejected request
-MOSTLY_SERVED = 0.9
+MIN_FIRST_ATTEMPTS = 20  # at one upstream in one second; a ratio of fewer is meaningless
+RECOVERED_SHARE = 0.95  # of the share served before the fault
+RECOVERY_STEP, MAX_RECOVERY_STEPS = 0.5, 12  # step in seconds; steps until the fleet counts as not recovered
+BASELINE_SECONDS = (2, 4)  # begin and end of the time before the fault, in seconds
+MUCH_LARGER_FACTOR = 2  # factor over the size of a rejected request
+MIN_SERVED_SHARE = 0.9
 MIN_LARGER_REQUESTS = 3
-SLOT = 100 * NS_PER_MS
+COMPARISON_SLOT = 100 * NS_PER_MS
 
 
-class Answered(NamedTuple):
+class AnsweredRequest(NamedTuple):
     """A request that got its final answer.
 
     Attributes:
-        received_at: ns.
-        served: It was served, in time or late.
-        in_time: It was served within its latency objective.
-        rejected: It was rejected.
-        size_kb: Size of its object.
+        received_at: Simulated time when the front received the request, ns.
+        served: Whether it was served, in time or late.
+        in_time: Whether it was served within its latency objective.
+        rejected: Whether it was rejected.
+        size_kb: Size of its object, kB.
     """
 
     received_at: int
@@ -42,18 +42,18 @@
 
     Attributes:
         started_at: Start of the simulation, ns.
-        request_count: Requests that were sent.
-        duplicate_answers: Answers beyond the one of each request.
-        probe_count: Load probes, once the fleet has its first views.
-        answered: In the order of their answers.
+        request_count: Number of requests sent.
+        duplicate_answers: Number of answers after the first one of a request.
+        probe_count: Number of load probes since the fleet had its first views.
+        answered: The requests that got an answer, in the order of the answers.
     """
 
     started_at: int
     request_count: int = 0
     duplicate_answers: int = 0
     probe_count: int = 0
-    answered: list[Answered] = field(default_factory=list)
-    _answered_by_slot: dict[tuple[bytes, int], list[Answered]] = field(
+    answered: list[AnsweredRequest] = field(default_factory=list)
+    _answered_by_slot: dict[tuple[bytes, int], list[AnsweredRequest]] = field(
         default_factory=lambda: defaultdict(list)
     )
     _first_attempts: Counter[tuple[int, bytes]] = field(default_factory=Counter)
@@ -61,7 +61,7 @@
 
     @property
     def lost_requests(self) -> int:
-        """Requests without an answer."""
+        """Number of requests without an answer."""
         return self.request_count - len(self.answered)
 
     def add_attempt(self, second: int, upstream: bytes, is_first: bool) -> None:
@@ -69,13 +69,13 @@
         self._first_attempts[second, upstream] += is_first
         self._attempts[second, upstream] += 1
 
-    def add_answer(self, answered: Answered, preferred_cache: bytes) -> None:
+    def add_answer(self, answered: AnsweredRequest, preferred_cache: bytes) -> None:
         """Count an answer to a request for an object with this preferred cache."""
         self.answered.append(answered)
-        self._answered_by_slot[preferred_cache, answered.received_at // SLOT].append(answered)
+        self._answered_by_slot[preferred_cache, answered.received_at // COMPARISON_SLOT].append(answered)
 
     def served_share(self, begin: float = 1, end: float = 99) -> float:
-        """Return the share served in time, of what was asked for between two seconds; 1 of nothing."""
+        """Return the share served in time of requests received between two seconds; 1 if there were none."""
         in_time = [
             one.in_time
             for one in self.answered
@@ -84,7 +84,7 @@
         return sum(in_time) / len(in_time) if in_time else 1.0
 
     def amplification(self) -> float:
-        """Return attempts over first attempts, in the worst second at the worst upstream."""
+        """Return the highest ratio of attempts to first attempts in any second at any upstream."""
         ratios = (
             self._attempts[key] / count
             for key, count in self._first_attempts.items()
@@ -93,8 +93,8 @@
         return max(ratios, default=1.0)
 
     def recovery_seconds(self, fault_end: float) -> float:
-        """Return the time from the end of a fault until nearly as much is served as before it."""
-        before = self.served_share(*BASELINE)
+        """Return the seconds from `fault_end` until nearly the same share is served as before the fault."""
+        before = self.served_share(*BASELINE_SECONDS)
         for step in range(MAX_RECOVERY_STEPS):
             begin = fault_end + step * RECOVERY_STEP
             if self.served_share(begin, begin + RECOVERY_STEP) >= RECOVERED_SHARE * before:
@@ -102,16 +102,16 @@
         return MAX_RECOVERY_STEPS * RECOVERY_STEP
 
     def wrongly_rejected_share(self) -> float:
-        """Return the share of the rejections that hit a small request while large ones were served.
+        """Return the share of rejected requests for which much larger ones were served at the same time.
 
-        Compared are requests with the same preferred cache in the same tenth of a second.
+        Requests with the same preferred cache in the same tenth of a second are compared.
         """
         wrong = rejected = 0
         for slot in self._answered_by_slot.values():
             for one in slot:
                 if not one.rejected:
                     continue
-                larger = [other.served for other in slot if other.size_kb > MUCH_LARGER * one.size_kb]
+                larger = [other.served for other in slot if other.size_kb > MUCH_LARGER_FACTOR * one.size_kb]
                 rejected += 1
-                wrong += len(larger) > MIN_LARGER_REQUESTS and sum(larger) > MOSTLY_SERVED * len(larger)
+                wrong += len(larger) > MIN_LARGER_REQUESTS and sum(larger) > MIN_SERVED_SHARE * len(larger)
         return wrong / rejected if rejected else 0.0
--- a/benchmarks/simulated_fleet/parameters.py
+++ b/benchmarks/simulated_fleet/parameters.py
@@ -9,7 +9,7 @@
 LATENCY_OBJECTIVE = 300 * NS_PER_MS
 OBJECTIVE_STRETCH = 2.0
 CLIENT_TIMEOUT = 2500 * NS_PER_MS
-FLOW_KB_PER_S = 2000.0  # at full speed
+FLOW_KB_PER_S = 2000.0  # of one transfer at full speed
 
 
 def fleet_parameters(seed: int, fleet_size: int) -> Parameters:
--- a/benchmarks/simulated_fleet/simulation.py
+++ b/benchmarks/simulated_fleet/simulation.py
@@ -1,6 +1,6 @@
 """A fleet of simulated fronts under load: one upstream has a fault for a while, then the load triples.
 
-From 4 s to 8 s the first cache is slow, hung or erring; from 9 s to 12 s three times as much is asked for.
+From 4 s to 8 s the first cache is slow, hung or failing. From 9 s to 12 s the request rate is tripled.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 from marbleglade.testing.simulated_datagrams import SimulatedNetwork
 
 from .front import SimulatedFront
-from .measurements import Answered, FleetMeasurements
+from .measurements import AnsweredRequest, FleetMeasurements
 from .parameters import CLIENT_TIMEOUT, FLOW_KB_PER_S, LATENCY_OBJECTIVE
-from .upstreams import Fault, Service, SimulatedUpstreams
+from .upstreams import AttemptOutcome, Fault, SimulatedUpstreams
 
 START = 100 * NS_PER_S
-TICK = 250 * NS_PER_MS  # of a front's loop
+TICK = 250 * NS_PER_MS  # interval of a front's periodic work
 DELIVERY_STEP = 5 * NS_PER_MS
 CACHES, PARENTS = 8, 3
-FAULTY = b"c0"
+FAULTY_CACHE = b"c0"
 FAULT_BEGIN, FAULT_END = 4, 8  # seconds
-WORST_FROM = 6.5  # seconds: until then the fleet learns of the fault
+FAULT_KNOWN_AFTER = 6.5  # seconds, the time by which the fleet has detected the fault
 FLOOD_BEGIN, FLOOD_END, FLOOD_FACTOR = 9, 12, 3.0
-FIRST_VIEWS_AFTER = 3  # seconds
+FIRST_VIEWS_AFTER_S = 3
 LOSS_RATE = 0.1
 MEAN_TRANSFER_S = 0.06
 CACHE_HEADROOM, MIN_CAPACITY = 2.5, 4.0
@@ -41,19 +41,20 @@
 
 
 class FleetSimulation:
-    """One run.
+    """One simulated run of a fleet.
 
     Args:
-        count: Number of fronts; the upstreams' capacity grows with it.
-        seed: Seed of everything that is drawn.
-        cooperating: The fronts exchange datagrams; else each decides alone.
-        fault: What is wrong with the faulty cache.
-        seconds: Simulated seconds in which requests come.
+        count: Number of fronts; the capacity of the upstreams is proportional to it.
+        seed: Seed of all random figures.
+        cooperating: Whether the fronts exchange datagrams; otherwise each decides alone.
+        fault: Fault of the first cache.
+        seconds: Simulated seconds in which requests are sent.
         rate: Requests per second and front.
 
     Attributes:
         now: The simulated time, ns.
-        worst_in_flight_at_fault: Most attempts in flight at the faulty cache, once the fleet knows of it.
+        worst_in_flight_at_fault: Most attempts in flight at the faulty cache once the fleet has
+            detected the fault.
     """
 
     def __init__(
@@ -75,7 +76,7 @@
         self.fronts = [SimulatedFront(self, number, CACHES, PARENTS) for number in range(count)]
 
     def run(self) -> FleetSimulation:
-        """Run to the end."""
+        """Run the simulation to its end and return it."""
         for front in self.fronts:
             self._schedule(int(NS_PER_S / self.rate * self._network.draw()), self._send_request, front)
             if self.cooperating:
@@ -94,7 +95,7 @@
     def _elapsed(self) -> float:
         return (self.now - START) / NS_PER_S
 
-    # The fronts' requests and ticks.
+    # Requests and periodic work of fronts.
 
     def _send_request(self, front: SimulatedFront) -> None:
         if self._elapsed >= self.seconds:
@@ -137,34 +138,34 @@
         self._network.deliver_due(self.now)
         self._schedule(DELIVERY_STEP, self._deliver_due)
 
-    # What the policies ask for.
+    # Calls from the fronts and their policies.
 
     def schedule_wakeup(self, front: SimulatedFront, after: int) -> None:
-        """Call the front's timer later."""
+        """Call the front's `on_timer` after `after` ns."""
         self._schedule(after, front.on_timer)
 
     def count_probe(self) -> None:
         """Count a load probe, once the fleet has its first views."""
-        self.measurements.probe_count += self._elapsed >= FIRST_VIEWS_AFTER
+        self.measurements.probe_count += self._elapsed >= FIRST_VIEWS_AFTER_S
 
     def serve_attempt(self, front: SimulatedFront, attempt: Attempt, only_if_cached: bool) -> None:
-        """Begin to serve an attempt."""
+        """Start an attempt at its upstream."""
         name = attempt.upstream.name
         self.measurements.add_attempt(int(self._elapsed), name, len(attempt.request.attempts) == 1)
-        has_fault = name == FAULTY and FAULT_BEGIN <= self._elapsed < FAULT_END
+        has_fault = name == FAULTY_CACHE and FAULT_BEGIN <= self._elapsed < FAULT_END
         if has_fault:
             self._in_flight_at_fault += 1
-            if self._elapsed > WORST_FROM:
+            if self._elapsed > FAULT_KNOWN_AFTER:
                 self.worst_in_flight_at_fault = max(self.worst_in_flight_at_fault, self._in_flight_at_fault)
-        service = self._upstreams.serve(attempt, only_if_cached, self.fault if has_fault else None)
-        self._schedule(service.duration, self._finish_service, front, attempt, service)
+        outcome = self._upstreams.serve(attempt, only_if_cached, self.fault if has_fault else None)
+        self._schedule(outcome.duration, self._finish_service, front, attempt, outcome)
 
-    def _finish_service(self, front: SimulatedFront, attempt: Attempt, service: Service) -> None:
-        self._upstreams.finish(attempt, service)
-        self._finish_attempt(front, attempt, service.result)
+    def _finish_service(self, front: SimulatedFront, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        self._upstreams.finish(attempt, outcome)
+        self._finish_attempt(front, attempt, outcome.result)
 
     def cancel_attempt(self, front: SimulatedFront, attempt: Attempt) -> None:
-        """Cancel an attempt; its upstream goes on with it."""
+        """Cancel an attempt at its front; its upstream continues to serve it."""
         self._schedule(0, self._finish_attempt, front, attempt, AttemptResult.CANCELLED)
 
     def _finish_attempt(self, front: SimulatedFront, attempt: Attempt, result: AttemptResult) -> None:
@@ -172,7 +173,7 @@
             return
         attempt.result, attempt.latency = result, self.now - attempt.sent_at
         sent_at = (attempt.sent_at - START) / NS_PER_S
-        if attempt.upstream.name == FAULTY and FAULT_BEGIN <= sent_at < FAULT_END:
+        if attempt.upstream.name == FAULTY_CACHE and FAULT_BEGIN <= sent_at < FAULT_END:
             self._in_flight_at_fault -= 1
         if result is AttemptResult.OK and not attempt.request.finished:
             self.answer(front, attempt.request, served=True)
@@ -186,15 +187,15 @@
         request.finished = True
         transfer_time = request.size_kb / FLOW_KB_PER_S * NS_PER_S
         in_time = served and self.now <= request.received_at + LATENCY_OBJECTIVE + 2 * transfer_time
-        answered = Answered(request.received_at, served, in_time, rejected, request.size_kb)
+        answered = AnsweredRequest(request.received_at, served, in_time, rejected, request.size_kb)
         preferred = rank_by_rendezvous(front.caches, request.object_id, 0)[0].name
         self.measurements.add_answer(answered, preferred)
 
-    # What is measured beside the requests.
+    # Figures beside those of requests.
 
     def probes_per_cache(self) -> float:
-        """Return load probes per second and cache, once the fleet has its first views."""
-        span = self.seconds + CLIENT_TIMEOUT / NS_PER_S - FIRST_VIEWS_AFTER
+        """Return load probes per second and cache since the fleet had its first views."""
+        span = self.seconds + CLIENT_TIMEOUT / NS_PER_S - FIRST_VIEWS_AFTER_S
         return self.measurements.probe_count / CACHES / span
 
     def bytes_per_front(self) -> float:
--- a/benchmarks/simulated_fleet/table.py
+++ b/benchmarks/simulated_fleet/table.py
@@ -1,14 +1,14 @@
-"""Simulated fleets by size: the table that is printed, and the figures of the benchmark of overload."""
+"""Simulates fleets by size, prints a table of them and returns the figures for the overload benchmark."""
 
 from __future__ import annotations
 
 from .simulation import FAULT_BEGIN, FAULT_END, FLOOD_BEGIN, FLOOD_END, FleetSimulation
 from .upstreams import Fault
 
-LARGEST_ALONE = 200  # fronts, up to which fronts that decide alone are simulated
-LARGEST_WITH_ALL_FAULTS = 50
-SECONDS, LARGE_SECONDS = 15, 6
-GROWTH_FROM = 50  # fronts, from which the growth of datagrams is measured
+MAX_FRONTS_ALONE = 200  # most fronts for which a fleet without cooperation is simulated
+MAX_FRONTS_WITH_ALL_FAULTS = 50
+DURATION_S, LARGE_FLEET_DURATION_S = 15, 6
+GROWTH_BASE_FRONTS = 50  # number of fronts that the growth of datagram bytes is relative to
 HEADER = (
     f"{'fronts':>6} {'way':<9} {'fault':<7} served amid  flood  attempts/first  probes/cache/s  "
     f"at bad  shed wrong  B/front/s  back s"
@@ -16,33 +16,37 @@
 
 
 def simulate_sizes(seed: int, sizes: tuple[int, ...]) -> dict[str, float]:
-    """Print a row for each simulation; return the figures of the largest size of at most 200 fronts.
+    """Simulate fleets of all sizes and print a row for each simulation.
 
     Args:
         seed: Seed of all simulations.
         sizes: Numbers of fronts.
+
+    Returns:
+        Figures by name, for the largest size of at most 200 fronts. Lost and doubled answers are summed over
+        all sizes; the growth of datagram bytes is that from 50 fronts to the largest size.
     """
     figures: dict[str, float] = {"lost": 0, "doubled": 0}
     bytes_per_front: dict[int, float] = {}
     print(HEADER)
     for count in sizes:
         for cooperating in (False, True):
-            if count > LARGEST_ALONE and not cooperating:
+            if count > MAX_FRONTS_ALONE and not cooperating:
                 continue
             simulations = _simulate_faults(seed, count, cooperating)
             figures["lost"] += sum(one.measurements.lost_requests for one in simulations)
             figures["doubled"] += sum(one.measurements.duplicate_answers for one in simulations)
             if cooperating:
                 bytes_per_front[count] = simulations[0].bytes_per_front()
-            if count <= LARGEST_ALONE:
+            if count <= MAX_FRONTS_ALONE:
                 figures |= _figures(simulations, cooperating)
-    figures["growth_bytes"] = bytes_per_front[max(sizes)] / bytes_per_front[GROWTH_FROM]
+    figures["growth_bytes"] = bytes_per_front[max(sizes)] / bytes_per_front[GROWTH_BASE_FRONTS]
     return figures
 
 
 def _simulate_faults(seed: int, count: int, cooperating: bool) -> list[FleetSimulation]:
-    faults = Fault if count <= LARGEST_WITH_ALL_FAULTS else (Fault.HUNG,)
-    seconds = SECONDS if count <= LARGEST_ALONE else LARGE_SECONDS
+    faults = Fault if count <= MAX_FRONTS_WITH_ALL_FAULTS else (Fault.HUNG,)
+    seconds = DURATION_S if count <= MAX_FRONTS_ALONE else LARGE_FLEET_DURATION_S
     simulations = []
     for fault in faults:
         simulation = FleetSimulation(count, seed, cooperating, fault, seconds).run()
--- a/tests/benchmarks/test_capacity_page.py
+++ b/tests/benchmarks/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""The capacity page says what the recorded measurements say: every table, and every verdict on a budget."""
+"""The tables and budget verdicts of the capacity page match the recorded measurements."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 import pytest
 
 from benchmarks.capacity import budgets, page
-from benchmarks.capacity.budget_tables import breaks_at, kept, rules
+from benchmarks.capacity.budget_tables import is_within_limit, least_fronts_over_limit, rule_violations
 from benchmarks.capacity.budgets import Budget
-from benchmarks.capacity.fit import TooFewPointsError, fitted, line
+from benchmarks.capacity.fit import TooFewPointsError, fit_line, fit_slope
 from benchmarks.capacity.markdown import VERDICTS
 from benchmarks.capacity.number_format import with_unit
 from benchmarks.capacity.records import (
-    RECORDED,
+    RECORD_FOLDER,
+    CapacityRecord,
     Conditions,
     InvalidRecordError,
-    Measurement,
     Point,
-    load,
-    save,
+    load_record,
+    save_record,
 )
 
 NUMBER = re.compile(r"[0-9][0-9.,]*")
@@ -29,101 +29,105 @@
 
 
 @pytest.fixture(scope="module")
-def written():
-    """The tables as the page has them."""
-    return page.blocks(page.PAGE.read_text())
+def tables_on_page():
+    """The tables in the text of the page, by name."""
+    return page.page_tables(page.PAGE.read_text())
 
 
 @pytest.fixture(scope="module")
-def made():
-    """The tables made anew from the recorded files."""
-    return page.tables()
+def tables_from_records():
+    """The tables generated from the recorded files, by name."""
+    return page.generated_tables()
 
 
 def cells(block: str) -> list[list[str]]:
-    """The rows of a table without its head."""
+    """Return the cells of a table's rows without its head."""
     lines = [one for one in block.splitlines() if one.startswith("|")]
     return [[cell.strip() for cell in one.strip("|").split("|")] for one in lines[2:]]
 
 
 @pytest.mark.parametrize("name", page.TABLES)
-def test_a_table_of_the_page_is_what_the_record_gives(written, made, name):
-    assert written[name] == made[name]
+def test_each_table_on_the_page_equals_the_generated_one(tables_on_page, tables_from_records, name):
+    assert tables_on_page[name] == tables_from_records[name]
 
 
-def test_each_budget_line_has_the_verdict_of_its_figures(written):
-    recorded, scale = page.recorded()
-    rows = {row[0]: row for row in cells(written["before"])}
-    found = budgets.before(recorded)
+def test_each_budget_row_has_the_verdict_of_its_figure_and_limit(tables_on_page):
+    recorded, scale = page.load_records()
+    rows = {row[0]: row for row in cells(tables_on_page["before"])}
+    found = budgets.budgets_without_control_plane(recorded)
     assert list(rows) == [one.name for one in found]
     for one in found:
         within = one.value is not None and one.value <= one.limit
         assert rows[one.name][3] == ("kept" if within else "**not kept**")
     for one in scale.budgets if scale else ():
-        assert one.kept == kept(one)
-        assert f"| {one.name} |" in written["with-control"]
-        row = next(row for row in cells(written["with-control"]) if row[0] == one.name)
+        assert one.kept == is_within_limit(one)
+        assert f"| {one.name} |" in tables_on_page["with-control"]
+        row = next(row for row in cells(tables_on_page["with-control"]) if row[0] == one.name)
         assert row[3] == VERDICTS[None if one.measured is None else one.measured <= one.limit]
 
 
-def test_what_is_not_kept_stands_in_the_first_lines(written):
-    """Before any heading but the title, and none is left out."""
-    recorded, scale = page.recorded()
+def test_unmet_budgets_and_rules_are_listed_before_the_first_section(tables_on_page):
+    """Checks that the list is complete and that only the title precedes it."""
+    recorded, scale = page.load_records()
     top = page.PAGE.read_text().partition("\n## ")[0]
     assert all(f"<!-- table: {name} -->" in top for name in ("first", "before", "with-control", "still"))
-    for one in budgets.before(recorded):
-        if not one.kept and one.after is None and not (scale and one.mended_by):
-            assert f"- {one.name}: " in written["still"]
+    for one in budgets.budgets_without_control_plane(recorded):
+        if not one.is_within_limit and one.later_value is None and not (scale and one.scale_summary_field):
+            assert f"- {one.name}: " in tables_on_page["still"]
     for one in scale.budgets if scale else ():
-        assert (f"- {one.name}: " in written["still"]) is not (kept(one) is True)
-    for name, value, _ in rules(scale) if scale and scale.budgets else ():
-        assert (f"- rule: {name}: " in written["still"]) is (value != 0)
+        assert (f"- {one.name}: " in tables_on_page["still"]) is not (is_within_limit(one) is True)
+    for name, value, _ in rule_violations(scale) if scale and scale.budgets else ():
+        assert (f"- rule: {name}: " in tables_on_page["still"]) is (value != 0)
 
 
-def test_the_budget_named_first_is_the_one_exceeded_by_most(written):
-    recorded, _ = page.recorded()
-    with_figure = [one for one in budgets.before(recorded) if one.value is not None]
+def test_the_first_sentence_names_the_most_exceeded_budget(tables_on_page):
+    recorded, _ = page.load_records()
+    with_figure = [one for one in budgets.budgets_without_control_plane(recorded) if one.value is not None]
     worst = max(with_figure, key=lambda one: one.value / one.limit)
-    assert worst.name in written["first"].splitlines()[0]
+    assert worst.name in tables_on_page["first"].splitlines()[0]
 
 
-def test_slopes_of_the_record_are_those_of_its_points():
-    """A point or a slope that was changed by hand shows."""
-    recorded = load(RECORDED / page.CAPACITY)
+def test_recorded_slopes_equal_those_fitted_to_the_recorded_points():
+    """Detects a point or slope that was edited by hand in the record."""
+    recorded = load_record(RECORD_FOLDER / page.CAPACITY_FILE)
     for slope in recorded.slopes:
         (size,) = slope.range
         points = [point for point in recorded.points if point.name == slope.name and size in point.at]
-        again = fitted(points, size)
-        assert again.intercept == pytest.approx(slope.intercept, rel=1e-9, abs=1e-15), slope.name
-        assert again.per == pytest.approx(slope.per, rel=1e-9, abs=1e-15), slope.name
-        assert again.error == pytest.approx(slope.error, rel=1e-6, abs=1e-12), slope.name
-        assert (again.range, again.points, again.command) == (slope.range, slope.points, slope.command)
+        refitted = fit_slope(points, size)
+        assert refitted.intercept == pytest.approx(slope.intercept, rel=1e-9, abs=1e-15), slope.name
+        assert refitted.per == pytest.approx(slope.per, rel=1e-9, abs=1e-15), slope.name
+        assert refitted.error == pytest.approx(slope.error, rel=1e-6, abs=1e-12), slope.name
+        assert (refitted.range, refitted.points, refitted.command) == (
+            slope.range,
+            slope.points,
+            slope.command,
+        )
 
 
 @pytest.mark.parametrize("name", SOURCES)
-def test_a_figure_changed_by_hand_in_the_record_changes_the_page(tmp_path, made, name):
-    for file in RECORDED.glob("*.json"):
+def test_a_changed_figure_in_the_record_changes_the_generated_table(tmp_path, tables_from_records, name):
+    for file in RECORD_FOLDER.glob("*.json"):
         shutil.copy(file, tmp_path)
-    told = json.loads((tmp_path / page.CAPACITY).read_text())
-    for one in (*told["points"], *told["slopes"]):
+    record = json.loads((tmp_path / page.CAPACITY_FILE).read_text())
+    for one in (*record["points"], *record["slopes"]):
         for field in {"value", "intercept"} & set(one):
             one[field] = one[field] * 2 + 1
-    (tmp_path / page.CAPACITY).write_text(json.dumps(told))
-    assert page.tables(tmp_path)[name] != made[name]
+    (tmp_path / page.CAPACITY_FILE).write_text(json.dumps(record))
+    assert page.generated_tables(tmp_path)[name] != tables_from_records[name]
 
 
 @pytest.mark.parametrize("name", SOURCES)
-def test_a_figure_changed_by_hand_in_the_page_shows(made, name):
+def test_a_changed_figure_on_the_page_differs_from_the_generated_table(tables_from_records, name):
     text = page.PAGE.read_text()
     begin = text.index(f"<!-- table: {name} -->")
     row = text.index("\n| ", text.index("| --- |", begin))
     figure = NUMBER.search(text, row)
     changed = text[: figure.start()] + "9" + figure[0] + text[figure.end() :]
-    assert page.blocks(changed)[name] != made[name]
+    assert page.page_tables(changed)[name] != tables_from_records[name]
 
 
-@pytest.mark.usefixtures("made")
-def test_writing_changes_nothing_but_the_tables(tmp_path):
+@pytest.mark.usefixtures("tables_from_records")
+def test_writing_the_page_restores_its_tables_and_changes_nothing_else(tmp_path):
     copy = tmp_path / "CAPACITY.md"
     text = page.PAGE.read_text()
     copy.write_text(text.replace("**not kept**", "kept"))
@@ -131,7 +135,7 @@
     assert copy.read_text() == text
 
 
-def test_a_mark_without_a_table_is_named(tmp_path):
+def test_a_mark_of_an_unknown_table_is_named_in_the_error(tmp_path):
     copy = tmp_path / "CAPACITY.md"
     copy.write_text(page.PAGE.read_text().replace("<!-- table: runs -->", "<!-- table: runz -->"))
     with pytest.raises(page.InvalidPageError, match=r"runs.*runz"):
@@ -139,33 +143,33 @@
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"points": [], "slopes": [{"name": "x"}]}', "{"])
-def test_a_record_that_can_not_be_read_is_named(tmp_path, text):
+def test_the_error_of_an_invalid_record_names_its_file(tmp_path, text):
     path = tmp_path / "capacity.json"
     path.write_text(text)
     with pytest.raises(InvalidRecordError, match=r"capacity\.json"):
-        load(path)
+        load_record(path)
 
 
 def point(size: float, value: float) -> Point:
     return Point("cost", "front", "bytes", "B", {"fronts": size}, value, "none")
 
 
-def test_a_record_is_read_as_it_was_saved(tmp_path):
+def test_a_loaded_record_equals_the_saved_one(tmp_path):
     points = [point(1, 3.0), point(2, 5.5), point(4, 9.0)]
     conditions = Conditions("2026-12-02", "8 cores", True, 18.94, 27.43, "646ccc5b6e5c", False)
-    recorded = Measurement({"fleet": conditions}, points, [fitted(points, "fronts")])
-    save(tmp_path / "some.json", recorded)
-    assert load(tmp_path / "some.json") == recorded
+    recorded = CapacityRecord({"fleet": conditions}, points, [fit_slope(points, "fronts")])
+    save_record(tmp_path / "some.json", recorded)
+    assert load_record(tmp_path / "some.json") == recorded
 
 
-def test_a_line_is_that_of_least_squares():
-    found = line([0, 1, 2, 3], [1, 3, 2, 4])
+def test_a_line_is_fitted_by_least_squares():
+    found = fit_line([0, 1, 2, 3], [1, 3, 2, 4])
     assert (found.intercept, found.slope) == pytest.approx((1.3, 0.8))
     assert (found.error, found.intercept_error, found.slope_error) == pytest.approx(
         (0.9486833, 0.7937254, 0.4242641)
     )
     with pytest.raises(TooFewPointsError):
-        line([2, 2], [1, 3])
+        fit_line([2, 2], [1, 3])
 
 
 def budget(value: float | None) -> Budget:
@@ -173,9 +177,9 @@
 
 
 @pytest.mark.parametrize(
-    "once, twice, least",
+    "expected, doubled, least_fronts",
     [
-        (73_000.0, 146_000.0, 61),  # 100 a front: 60 are just kept
+        (73_000.0, 146_000.0, 61),  # 100 a front: 60 fronts are just within the limit
         (2_000.0, 2_000.0, None),
         (7_000.0, 7_000.0, 1),
         (3_000.0, 2_000.0, None),
@@ -183,8 +187,8 @@
         (None, None, 1),
     ],
 )
-def test_the_fronts_from_which_a_budget_is_not_kept(once, twice, least):
-    assert breaks_at(budget(once), budget(twice)) == least
+def test_least_number_of_fronts_that_exceeds_a_budget(expected, doubled, least_fronts):
+    assert least_fronts_over_limit(budget(expected), budget(doubled)) == least_fronts
 
 
 @pytest.mark.parametrize(
@@ -201,5 +205,5 @@
         (0.0948, "core", "0.0948 core"),
     ],
 )
-def test_figures_are_shown_with_three_digits_and_a_prefix(value, unit, text):
+def test_figures_are_formatted_with_three_digits_and_a_unit_prefix(value, unit, text):
     assert with_unit(value, unit) == text
