--- a/benchmarks/gateway/__main__.py
+++ b/benchmarks/gateway/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m benchmarks.gateway`: its last line is one JSON object. Exit code 1: a rule broke."""
+"""Entry point of `python -m benchmarks.gateway`.
+
+The last line of its output is one JSON object. Exit code 1 means that a figure that must be zero is not.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 
 
 class GatewayBenchmark:
-    """One run: measurement of cost, one long cut, faults drawn from the seed, and the report."""
+    """One run: the cost of requests, one long cut between the regions, random faults, and the report."""
 
     def __init__(self, seed: int, quick: bool) -> None:
         self._seed, self._quick = seed, quick
@@ -34,35 +37,35 @@
         self._faults = Faults(self.world, self._traffic, self._purges, self._draws)
 
     def run(self) -> dict[str, float]:
-        """Run to the end; print the tables and return the figures."""
+        """Run all phases; print the tables and return the figures."""
         quick = self._quick
         self.world.wait_until_ready()
         cost = CostMeasurement(self.world).run(QUICK_COST_REQUESTS if quick else COST_REQUESTS)
-        self._faults.set_usual_links()
+        self._faults.set_normal_link_conditions()
         self._traffic.start()
         gevent.sleep(1.5)
-        before_cut = self._measure_usual()
+        before_cut = self._measure_before_cut()
         in_cut = self._cut_regions()
         after_cut = self._recover_under_load()
-        played = []
+        injected_faults = []
         for _ in range(QUICK_FAULTS if quick else FAULTS):
-            played.append(self._faults.play(self._draws.choose(self._faults.names)))
+            injected_faults.append(self._faults.inject(self._draws.choose(self._faults.names)))
             gevent.sleep(1.0 if quick else 1.5)
-            self._purges.settle()
+            self._purges.set_remote_deadlines()
         gevent.sleep(1.0)
         self._traffic.finish()
         gevent.sleep(0.3)
-        self._purges.settle()
+        self._purges.set_remote_deadlines()
         phases = Phases(before_cut, in_cut, after_cut, now())
         exit_codes = self._stop_processes()
         for results in self._traffic.results.values():
             self._purges.expectations.check(results)
         report = Report(self.world, self._traffic, self._purges, self._faults, cost, phases, exit_codes)
         figures = report.figures(self._seed)
-        report.print(figures, played)
+        report.print(figures, injected_faults)
         return figures
 
-    def _measure_usual(self) -> tuple[float, float]:
+    def _measure_before_cut(self) -> tuple[float, float]:
         began = now()
         gevent.sleep(2.0 if self._quick else 6.0)
         return began, now()
@@ -76,7 +79,7 @@
         return self._purges.cuts[-1][0], now()
 
     def _recover_under_load(self) -> tuple[float, float]:
-        """Heal the cut, with twice the load at first."""
+        """End the cut, with twice the load for the first second; return start and end of this phase."""
         self._faults.heal()
         healed_at = now()
         self._traffic.set_rate_factor(2.0)
@@ -86,7 +89,7 @@
         return healed_at, now()
 
     def _stop_processes(self) -> dict[str, int]:
-        """End all processes, after they have logged their counters; return their exit codes."""
+        """Make all processes log their counters, then stop them; return their exit codes by name."""
         for process in self.world.processes.values():
             if process.is_running():
                 process.signal(signal.SIGUSR1)
@@ -95,11 +98,11 @@
 
 
 def main() -> int:
-    """Run the benchmark; return the exit code."""
+    """Run the benchmark from the command line; return the exit code."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.gateway", description=__doc__)
-    parser.add_argument("--seed", type=int, default=1, help="draws all faults")
-    parser.add_argument("--quick", action="store_true", help="within 45 s")
-    parser.add_argument("--keep", action="store_true", help="keep the logs, and say where")
+    parser.add_argument("--seed", type=int, default=1, help="seed of all random choices (default 1)")
+    parser.add_argument("--quick", action="store_true", help="a shorter run, which ends within 45 s")
+    parser.add_argument("--keep", action="store_true", help="keep the log directory and print its path")
     arguments = parser.parse_args()
     benchmark = GatewayBenchmark(arguments.seed, arguments.quick)
     try:
--- a/benchmarks/gateway/faults.py
+++ b/benchmarks/gateway/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a run, each played to its end."""
+"""Fault injection between and in the regions; each fault has ended when its method returns."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from .traffic import Traffic, object_of, video_of_west
 from .world import Draws, World
 
-LINK_RATE, LINK_DELAY_S = 3_000_000, 0.004  # between the regions, for one connection
-SLOW_RATE, CORRUPT_EVERY = 300_000, 40_000
+LINK_RATE, LINK_DELAY_S = 3_000_000, 0.004  # bytes per second and delay of one connection between regions
+SLOW_RATE, CORRUPT_EVERY = 300_000, 40_000  # bytes per second; bytes from one corrupted byte to the next
 CUT_MODES = tuple(mode for mode in get_args(ProxyMode) if mode != "pass")
 POPULAR_VIDEOS, FIRST_POPULAR_VIDEO = 19, 15
 
 
 class Faults:
-    """Plays faults between and in the regions.
+    """Injects faults between and in the regions.
 
     Attributes:
-        names: What `play` takes.
-        requests_after_drain: Requests that came to a cache after the grace time of its drain.
+        names: Names of the faults that `inject` accepts.
+        requests_after_drain: Requests that reached a cache after the grace period of its drain.
     """
 
     def __init__(self, world: World, traffic: Traffic, purges: Purges, draws: Draws) -> None:
         self._world, self._traffic, self._purges, self._draws = world, traffic, purges, draws
         self.requests_after_drain = 0
-        self._plays = {
+        self._fault_methods = {
             "cut": self._cut,
             "one link": self._cut_one_link,
             "slow": self._slow_links,
@@ -47,21 +47,21 @@
             "discovery restarts": self._restart_discovery,
             "corrupted link": self._corrupt_link,
         }
-        self.names = tuple(self._plays)
+        self.names = tuple(self._fault_methods)
 
-    def play(self, name: str) -> str:
-        """Play a fault to its end; return what it was."""
+    def inject(self, name: str) -> str:
+        """Inject a fault and wait until it has ended; return its name and details."""
         self._gateway = self._draws.choose(self._world.west.gateways)
         self._cache = self._draws.choose(self._world.west.caches)
-        return f"{name}{self._plays[name]() or ''}"
+        return f"{name}{self._fault_methods[name]() or ''}"
 
-    def set_usual_links(self) -> None:
-        """Give all proxies their usual rate and delay."""
+    def set_normal_link_conditions(self) -> None:
+        """Set all proxies to the rate and delay of a link without faults."""
         for proxy in self._world.all_proxies():
             proxy.set_fault(rate=LINK_RATE, delay=LINK_DELAY_S)
 
     def cut(self, mode: ProxyMode) -> None:
-        """Cut the regions off from each other, amid fills: videos are asked for just before."""
+        """Cut the links between the regions during fills: videos are requested just before the cut."""
         for stream in self._traffic.streams_in_east():
             for _ in range(4):
                 rank = FIRST_POPULAR_VIDEO + int(self._draws.draw() * POPULAR_VIDEOS)
@@ -72,14 +72,14 @@
         self._purges.cuts.append([now(), float("inf")])
 
     def heal(self) -> None:
-        """End the cut."""
-        self.set_usual_links()
+        """Restore all links between the regions, and record the end of the cut."""
+        self.set_normal_link_conditions()
         cuts = self._purges.cuts
         if cuts and cuts[-1][1] == float("inf"):
             cuts[-1][1] = now()
 
     def purge_popular(self, is_west: bool | None = None) -> None:
-        """Purge what is asked for often, by default in either region."""
+        """Purge a popular object or a group; by default the region is drawn at random."""
         if is_west is None:
             region = self._draws.choose(self._world.regions.both)
         else:
@@ -98,7 +98,7 @@
             self.purge_popular()
         gevent.sleep(0.1 + self._draws.draw() * 0.5)
         self.heal()
-        if self._draws.draw() < 0.5:  # and again while the links recover
+        if self._draws.draw() < 0.5:  # cut again while the links recover
             gevent.sleep(self._draws.draw() * 0.3)
             self.cut(self._draws.choose(CUT_MODES))
             gevent.sleep(0.3)
@@ -160,7 +160,7 @@
     def _drain_cache(self) -> None:
         cache: StandInUpstream = self._cache
         self._world.west.discovery_service.announce([(cache, "hub")], state="leaving")
-        self._world.announce_to_reach(cache, state="leaving")
+        self._world.announce_to_direct_front(cache, state="leaving")
         cache.draining, cache.draining_since = True, now()
         gevent.sleep(0.9)
         self.requests_after_drain += cache.requests_while_draining
--- a/benchmarks/gateway/report.py
+++ b/benchmarks/gateway/report.py
@@ -1,4 +1,4 @@
-"""The figures of a run, and the tables that are printed."""
+"""Computes the figures of a run, and prints them as tables."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .world import World
 
 RECOVERED_SHARE, RECOVERY_STEP_S, RECOVERY_WINDOW_S = 0.95, 0.05, 0.5
-BROKEN_RULES = (
+MUST_BE_ZERO = (
     "lost",
     "doubled",
     "stale",
@@ -27,12 +27,12 @@
     "troubles_inside",
 )
 Counts = Counter[str]
-Span = tuple[float, float]  # its start and its end, in monotonic seconds
+Span = tuple[float, float]  # start and end in monotonic seconds
 
 
 @dataclass(frozen=True, slots=True)
 class Phases:
-    """The parts of a run that are measured."""
+    """The measured phases of a run, and the end of the run in monotonic seconds."""
 
     before_cut: Span
     in_cut: Span
@@ -41,16 +41,16 @@
 
 
 class Report:
-    """Works out what a run has shown, once all processes have ended.
+    """Evaluates a run after all processes have ended.
 
     Args:
-        world: What ran.
-        traffic: What clients asked for.
+        world: The processes and stand-ins of the run.
+        traffic: The clients' requests and their results.
         purges: The purges, whose expectations have been checked.
-        faults: The faults that were played.
-        cost: What a request costs.
-        phases: The parts of the run.
-        exit_codes: By process.
+        faults: The faults that were injected.
+        cost: Processor time and added latency of a request.
+        phases: The measured phases of the run.
+        exit_codes: Exit codes of the processes by name.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         return sum((processes[name].counters() for names in gateways for name in names), Counter())
 
     def figures(self, seed: int) -> dict[str, float]:
-        """Return the figures by their names, which earlier results have, too."""
+        """Return the figures by name; the names stay as they are so that results of older runs compare."""
         main, cost, phases = self._results["gateway"], self._cost, self._phases
         before, in_cut = phases.before_cut, phases.in_cut
         counts, orders = self._counts["gateway"], self._traffic.order_statuses
@@ -135,7 +135,11 @@
         )
 
     def _recovery_seconds(self, results: RequestResults) -> float:
-        """Return the time from the end of the cut until nearly as much as usual is served at once."""
+        """Return the seconds from the end of the cut until remote requests are served as before it.
+
+        That is when 95 % of the share before the cut is served at the first attempt. If that does not happen,
+        return the length of the whole phase.
+        """
         usual = results.served_share(*self._phases.before_cut, is_local=False)
         start, end = self._phases.after_cut
         for step in range(int((end - start) / RECOVERY_STEP_S)):
@@ -145,12 +149,12 @@
                 return round(step * RECOVERY_STEP_S, 3)
         return round(end - start, 3)
 
-    def print(self, figures: dict[str, float], played: list[str]) -> None:
-        """Print the tables and what went wrong."""
+    def print(self, figures: dict[str, float], faults: list[str]) -> None:
+        """Print the tables and the details of failures."""
         print(
-            f"seed {figures['seed']}; played: cut, {', '.join(played)}; figures from stand-ins on loopback\n"
+            f"seed {figures['seed']}; played: cut, {', '.join(faults)}; figures from stand-ins on loopback\n"
         )
-        self._print_ways()
+        self._print_variants()
         print(
             "\nprocessor time of a forwarded request, sender + receiver, against one of the plain front: "
             f"{figures['cpu_near_ratio']:.2f} + {figures['cpu_far_ratio']:.2f}"
@@ -159,37 +163,40 @@
         counts = self._counts["gateway"]
         statuses = {name: n for name, n in sorted(counts.items()) if name.startswith("forward.status")}
         print(f"orders: {dict(Counter(self._traffic.order_statuses.values()))}; statuses: {statuses}")
-        self._print_faults(figures)
+        self._print_failures(figures)
 
-    def _print_ways(self) -> None:
-        phases, ways = self._phases, list(self._results.values())
+    def _print_variants(self) -> None:
+        phases, results = self._phases, list(self._results.values())
         counts = [self._counts["gateway"], self._counts["no journal"], Counter()]
         until = float("inf")
         rows: list[tuple[str, list[float]]] = [
-            ("requests", [len(one.records) for one in ways]),
-            ("served before the cut", [one.served_share(*phases.before_cut) for one in ways]),
-            ("  of the own region", [one.served_share(*phases.before_cut, is_local=True) for one in ways]),
-            ("served in the cut", [one.served_share(*phases.in_cut) for one in ways]),
-            ("  of the own region", [one.served_share(*phases.in_cut, is_local=True) for one in ways]),
-            ("served after the cut", [one.served_share(*phases.after_cut) for one in ways]),
-            ("in time, before the cut", [one.weighted_share(*phases.before_cut) for one in ways]),
-            ("in time, in the cut", [one.weighted_share(*phases.in_cut) for one in ways]),
-            ("in time, in all", [one.weighted_share(phases.before_cut[0], until) for one in ways]),
-            ("served in all", [one.served_share(phases.before_cut[0], until) for one in ways]),
-            ("s to 95 in 100", [self._recovery_seconds(one) for one in ways]),
-            ("lost", [one.lost for one in ways]),
-            ("stale", [one.stale for one in ways]),
-            ("corrupted", [one.corrupted for one in ways]),
+            ("requests", [len(one.records) for one in results]),
+            ("served before the cut", [one.served_share(*phases.before_cut) for one in results]),
+            (
+                "  of the own region",
+                [one.served_share(*phases.before_cut, is_local=True) for one in results],
+            ),
+            ("served in the cut", [one.served_share(*phases.in_cut) for one in results]),
+            ("  of the own region", [one.served_share(*phases.in_cut, is_local=True) for one in results]),
+            ("served after the cut", [one.served_share(*phases.after_cut) for one in results]),
+            ("in time, before the cut", [one.weighted_share(*phases.before_cut) for one in results]),
+            ("in time, in the cut", [one.weighted_share(*phases.in_cut) for one in results]),
+            ("in time, in all", [one.weighted_share(phases.before_cut[0], until) for one in results]),
+            ("served in all", [one.served_share(phases.before_cut[0], until) for one in results]),
+            ("s to 95 in 100", [self._recovery_seconds(one) for one in results]),
+            ("lost", [one.lost for one in results]),
+            ("stale", [one.stale for one in results]),
+            ("corrupted", [one.corrupted for one in results]),
             ("bytes sent again, share", [_resent_share(one) for one in counts]),
             ("bytes discarded, share", [_discarded_share(one) for one in counts]),
             ("resumed requests", [one["forward.resumed"] for one in counts]),
         ]
-        print(f"{'':26}" + "".join(f"{way:>12}" for way in self._results))
+        print(f"{'':26}" + "".join(f"{variant:>12}" for variant in self._results))
         for name, values in rows:
             cells = (f"{value:12.3f}" if isinstance(value, float) else f"{value:12}" for value in values)
             print(f"{name:26}" + "".join(cells))
 
-    def _print_faults(self, figures: dict[str, float]) -> None:
+    def _print_failures(self, figures: dict[str, float]) -> None:
         for note in self._results["gateway"].notes:
             print(f"! {note}")
         for name, process in self._world.processes.items():
@@ -202,20 +209,20 @@
                 print(f"! purge of {purge.object_id:016x} {purge.group} at {purge.purged_at:.2f}: {times}")
             print("! cuts: " + "; ".join(f"{start:.2f} to {end:.2f}" for start, end in self._purges.cuts))
         for name in self._crashed:
-            print(f"! {name} ended badly; its log is in {self._world.folder}")
+            print(f"! {name} exited with an unexpected code; its log is in {self._world.folder}")
 
 
 def _resent_share(counts: Counts) -> float:
-    """Return the bytes that were sent again, of those of the same version that had come before."""
+    """Return the share of the reusable partial bytes that were nevertheless sent again."""
     kept = counts["forward.partial_bytes"] - counts["forward.discarded_bytes"]
     return counts["forward.resent_bytes"] / kept if kept else 0.0
 
 
 def _discarded_share(counts: Counts) -> float:
-    """Return the bytes of versions that are served no more, of those that had come."""
+    """Return the share of the partial bytes that were discarded because their version is no longer served."""
     return counts["forward.discarded_bytes"] / max(1, counts["forward.partial_bytes"])
 
 
 def broken_rules(figures: dict[str, float]) -> list[str]:
-    """Return the names of the rules that were broken."""
-    return [name for name in BROKEN_RULES if figures[name]]
+    """Return the names of the figures that must be zero but are not."""
+    return [name for name in MUST_BE_ZERO if figures[name]]
--- a/benchmarks/gateway/traffic.py
+++ b/benchmarks/gateway/traffic.py
@@ -1,4 +1,4 @@
-"""What clients ask for: objects of both regions by popularity, and orders that must take effect once."""
+"""Requests of the clients: objects of both regions by popularity, and orders that must take effect once."""
 
 from __future__ import annotations
 
@@ -13,20 +13,25 @@
 
 from .world import World
 
-OBJECTS = 240  # of each region
-ROUTED_OF_TEN = 7  # objects in ten that the deployment has a route for
-PREFIXES = {(True, True): 0xF, (True, False): 0x8, (False, True): 0x0, (False, False): 0x7}  # west, routed
-VIDEO_EVERY, VIDEO_RANK = 7, 2  # ranks that are videos
+OBJECTS = 240  # objects in each region
+ROUTED_OF_TEN = 7  # of every ten objects, the number that has a route in the deployment
+PREFIXES = {  # by (is_west, is_routed)
+    (True, True): 0xF,
+    (True, False): 0x8,
+    (False, True): 0x0,
+    (False, False): 0x7,
+}
+VIDEO_EVERY, VIDEO_RANK = 7, 2  # an object is a video if its rank modulo 7 is 2
 ORDER_INTERVAL_S, ORDER_TIMEOUT_MS = 0.06, 2000
-UNKNOWN = "?"  # the status of an order without a response
-WAYS = ("gateway", "no journal", "no gateway")
+UNKNOWN = "?"  # status of an order that got no response
+VARIANTS = ("gateway", "no journal", "no gateway")
 
 
 class _StreamPlan(NamedTuple):
-    """A stream of requests: target, way that it belongs to, rate, share of remote objects."""
+    """A stream of requests: target, compared variant, requests per second, share of remote objects."""
 
     target: str
-    way: str
+    variant: str
     rate: float
     remote_share: float
 
@@ -43,7 +48,10 @@
 
 
 def object_of(is_west: bool, rank: int) -> int:
-    """Return an object of a region by its popularity: one in seven is a video, three in ten have no route."""
+    """Return the object of a region with a popularity rank.
+
+    One object in seven is a video, and three in ten have no route.
+    """
     is_routed = rank % 10 < ROUTED_OF_TEN
     prefix = PREFIXES[is_west, is_routed]
     size_bits = int(hashed_fraction(7, "size", rank) * 0xFFFF)
@@ -52,12 +60,12 @@
 
 
 def video_of_west(rank: int) -> int:
-    """Return a video of the west by its rank among the videos."""
+    """Return an object of the west that is a video, by its popularity rank among the videos."""
     return object_of(True, VIDEO_EVERY * rank + VIDEO_RANK)
 
 
 def object_picker(seed: int, remote_share: float, region: str) -> PickObject:
-    """Return what picks the objects of a stream in a region."""
+    """Return a function that picks the objects of a stream whose clients are in `region`."""
 
     def pick(number: int) -> tuple[int, bool]:
         is_remote = hashed_fraction(seed, "far", number) < remote_share
@@ -68,16 +76,16 @@
 
 
 class Traffic:
-    """The streams of requests, and orders from the east to the west.
+    """All streams of requests, and the orders that are sent from the east to the west.
 
     Attributes:
-        results: By way, what became of the requests.
-        order_statuses: By body of an order, the status of its response.
+        results: Results of the requests by variant.
+        order_statuses: Status of the response by body of the order.
     """
 
     def __init__(self, seed: int, world: World) -> None:
         self._seed, self._world = seed, world
-        self.results = {way: RequestResults() for way in WAYS}
+        self.results = {variant: RequestResults() for variant in VARIANTS}
         self.streams: list[RequestStream] = []
         self.order_statuses: dict[bytes, str] = {}
 
@@ -86,17 +94,17 @@
         for number, plan in enumerate(STREAMS):
             pool, seed = self._world.pools[plan.target], self._seed + number
             pick = object_picker(seed, plan.remote_share, pool.region)
-            stream = RequestStream(pool, self.results[plan.way], seed, plan.rate, pick)
+            stream = RequestStream(pool, self.results[plan.variant], seed, plan.rate, pick)
             self.streams.append(stream)
             gevent.spawn(stream.run)
         self._ordering = gevent.spawn(self._send_orders)
 
     def streams_in_east(self) -> Sequence[RequestStream]:
-        """Return the streams of the east that still run."""
+        """Return the streams with targets in the east that are still running."""
         return [stream for stream in self.streams if stream.pool.region == "east" and stream.running]
 
     def set_rate_factor(self, factor: float) -> None:
-        """Raise all rates by a factor."""
+        """Send requests at the planned rates times `factor`."""
         for stream in self.streams:
             stream.rate_factor = factor
 
@@ -114,7 +122,7 @@
             gevent.spawn(self._send_order, number)
 
     def _send_order(self, number: int) -> None:
-        """Send an order once; its client does not retry it."""
+        """Send an order without retries, and record the status of its response."""
         pool = self._world.pools["east-1" if number % 2 else "east-2"]
         client, body = pool.next_client(), b"order %d" % number
         if client is None:
--- a/benchmarks/gateway/world.py
+++ b/benchmarks/gateway/world.py
@@ -1,4 +1,4 @@
-"""What runs: the regions' stand-ins, gateways, fronts, and the clients' connections to each of them."""
+"""The system under test: stand-ins of the regions, gateways, fronts, and the clients' connections."""
 
 from __future__ import annotations
 
@@ -34,42 +34,42 @@
 PAGE_FRESHNESS_MS = 5000
 MAX_CLOCK_ERROR_MS, MAX_DRIFT_PPM = 5_000, 300
 READY_TIMEOUT_S, RESTART_TIMEOUT_S = 20, 5
-EAST_OBJECT, WEST_OBJECT = 1 << 40, 0xF << 60 | 1 << 40  # any of each region
-ANY = TypeVar("ANY")
-Outage = list[float]  # its start and its end, in monotonic seconds; infinity: it lasts
+EAST_OBJECT, WEST_OBJECT = 1 << 40, 0xF << 60 | 1 << 40  # an arbitrary object of each region
+Value = TypeVar("Value")
+Outage = list[float]  # start and end in monotonic seconds; the end is infinity while the outage lasts
 
 
 class Draws:
-    """Random choices of a run, all drawn from its seed."""
+    """Random choices of a run, reproducible from its seed."""
 
     def __init__(self, seed: int) -> None:
         self._seed, self._count = seed, 0
 
     def draw(self) -> float:
-        """Return the next figure in [0, 1)."""
+        """Return the next random number in [0, 1)."""
         self._count += 1
         return hashed_fraction(self._seed, "play", self._count)
 
-    def choose(self, values: Sequence[ANY]) -> ANY:
-        """Return one of the values."""
+    def choose(self, values: Sequence[Value]) -> Value:
+        """Return one of the values at random."""
         return values[int(self.draw() * len(values))]
 
 
 class World:
-    """Everything that runs, by name.
+    """All processes, stand-ins and client connections of a run.
 
     Args:
         seed: Seed of the clocks and of the clients.
         draws: The run's random choices.
 
     Attributes:
-        clock_error_ms: By which the west's clock is wrong.
-        without_journal: Addresses of the gateways without the journal, by region.
-        processes: Gateways and fronts.
-        outages: By process, when it was down.
-        pools: By target, the clients' connections.
-        edges: Caches of the east whose parents are the gateways.
-        reach_proxies: Before the west's upstreams, for the front that has no gateway.
+        clock_error_ms: Error of the west's clock in milliseconds.
+        without_journal: Addresses of the gateways without a request journal, by region.
+        processes: Gateways and fronts by name.
+        outages: Outages by name of the process.
+        pools: Client connections by target.
+        edges: Caches in the east whose parents are the east's gateways.
+        direct_proxies: Proxies to the west's upstreams, for the front that uses no gateway.
     """
 
     def __init__(self, seed: int, draws: Draws) -> None:
@@ -90,7 +90,7 @@
         self._start_gateways()
         self._start_edge_front()
         self._start_front("plain", self.east.discovery_service, "hubs", ["hub", "none", "store"])
-        self._start_reach_front()
+        self._start_direct_front()
         self._connect_to_gateways()
 
     def _clock(self, error_ms: float) -> RegionClock:
@@ -143,7 +143,7 @@
         self._connect(name, "east", port, len(self.pools))
 
     def _start_edge_front(self) -> None:
-        """Start a front whose caches have the east's gateways as parents: the clients' usual way."""
+        """Start the front that clients normally use: its caches have the east's gateways as parents."""
         self.edges = [StandInUpstream(f"edge{number}", clock=self.east.clock) for number in range(2)]
         self.front_discovery = DiscoveryService("z")
         gateways = {name: (LOOPBACK_HOST, ports[1]) for name, ports in self.east.ports.items()}
@@ -155,40 +155,43 @@
             self.front_discovery.announce_address(name, address, "gateway")
         self._start_front("front", self.front_discovery, "z", ["box", "gateway", "store"])
 
-    def _start_reach_front(self) -> None:
-        """Start a front that reaches the west's upstreams through proxies, without a gateway."""
+    def _start_direct_front(self) -> None:
+        """Start a front that connects to the west's upstreams through proxies, without a gateway."""
         upstreams = (*self.west.caches, self.west.origin)
-        self.reach_proxies = [TcpProxy(upstream.address) for upstream in upstreams]
-        self.reach_discovery = DiscoveryService("hubs")
-        for number, (upstream, proxy) in enumerate(zip(upstreams, self.reach_proxies, strict=True)):
+        self.direct_proxies = [TcpProxy(upstream.address) for upstream in upstreams]
+        self.direct_discovery = DiscoveryService("hubs")
+        for number, (upstream, proxy) in enumerate(zip(upstreams, self.direct_proxies, strict=True)):
             kind = "store" if upstream is self.west.origin else "hub"
-            self.reach_discovery.announce_address(upstream.id, proxy.address, kind, full_list=not number)
-        self._start_front("reach", self.reach_discovery, "hubs", ["hub", "none", "store"])
+            self.direct_discovery.announce_address(upstream.id, proxy.address, kind, full_list=not number)
+        self._start_front("reach", self.direct_discovery, "hubs", ["hub", "none", "store"])
 
     def was_up(self, name: str, start: float, end: float) -> bool:
-        """Return whether a process was up, and not asked to shut down, all through that time."""
+        """Return whether a process was up and not shutting down from `start` to `end`."""
         return not any(begin <= end and start <= over for begin, over in self.outages[name])
 
     def wait_until_ready(self) -> None:
-        """Block until each target answers, for an object of the other region where it can."""
+        """Wait until each target serves an object, and the caches have warmed up.
+
+        Targets in the east, except "plain", must serve an object of the west.
+        """
         with gevent.Timeout(READY_TIMEOUT_S):
             for name, pool in self.pools.items():
                 is_remote = pool.region == "east" and name != "plain"
                 while not _answers(pool, WEST_OBJECT if is_remote else EAST_OBJECT):
                     gevent.sleep(0.05)
-        gevent.sleep(WARM_UP.duration_seconds)  # all started at once, and are warm by now
+        gevent.sleep(WARM_UP.duration_seconds)  # all caches started at the same time
 
     def proxies_of(self, region: str) -> list[TcpProxy]:
-        """Return the proxies before the gateways of a region, with and without the journal."""
+        """Return the proxies in front of all gateways of a region, with and without a request journal."""
         own = self.east if region == "east" else self.west
         return [*own.proxies.values(), *self.without_journal[region].proxies.values()]
 
     def all_proxies(self) -> list[TcpProxy]:
-        """Return all proxies between the regions."""
-        return [*self.proxies_of("east"), *self.proxies_of("west"), *self.reach_proxies]
+        """Return the proxies of all connections between the regions."""
+        return [*self.proxies_of("east"), *self.proxies_of("west"), *self.direct_proxies]
 
     def stop_process(self, name: str, signal_number: int = signal.SIGKILL) -> Outage:
-        """End a process, after it has logged its counters; return its outage, which lasts."""
+        """Make a process log its counters, then send it the signal; return the outage that starts now."""
         outage = [now(), float("inf")]
         self.outages[name].append(outage)
         self.processes[name].signal(signal.SIGUSR1)
@@ -197,7 +200,7 @@
         return outage
 
     def restart_process(self, name: str, outage: Outage) -> None:
-        """Start a process again once it has ended, and wait until it takes connections."""
+        """Start a process again once it has ended, wait until it accepts connections, and end the outage."""
         process = self.processes[name]
         while process.is_running():
             gevent.sleep(0.02)
@@ -209,20 +212,22 @@
                 client = self.pools[name].next_client()
         outage[1] = now()
 
-    def announce_to_reach(self, cache: StandInUpstream, state: str = "active", started_ms: int = 0) -> None:
-        """Announce one of the west's caches to the front that has no gateway."""
-        proxy = self.reach_proxies[self.west.caches.index(cache)]
-        self.reach_discovery.announce_address(
+    def announce_to_direct_front(
+        self, cache: StandInUpstream, state: str = "active", started_ms: int = 0
+    ) -> None:
+        """Announce a cache of the west to the front that uses no gateway."""
+        proxy = self.direct_proxies[self.west.caches.index(cache)]
+        self.direct_discovery.announce_address(
             cache.id, proxy.address, "hub", state=state, started_ms=started_ms
         )
 
     def restart_cache(self, cache: StandInUpstream) -> None:
-        """Restart one of the west's caches with nothing cached, and announce it to all that list it."""
+        """Restart a cache of the west empty, and announce it in both discovery services that list it."""
         self.west.restart_cache(cache)
-        self.announce_to_reach(cache, started_ms=cache.started_ms())
+        self.announce_to_direct_front(cache, started_ms=cache.started_ms())
 
     def close(self, keep_folder: bool) -> None:
-        """End everything."""
+        """End all processes, and close all connections and stand-ins."""
         for process in self.processes.values():
             if process.is_running():
                 process.kill()
@@ -231,10 +236,10 @@
         for edge in self.edges:
             edge.close()
         others = [proxy for one in self.without_journal.values() for proxy in one.proxies.values()]
-        for proxy in (*self.reach_proxies, *others):
+        for proxy in (*self.direct_proxies, *others):
             proxy.close()
         self.front_discovery.close()
-        self.reach_discovery.close()
+        self.direct_discovery.close()
         self.regions.close()
         if not keep_folder:
             shutil.rmtree(self.folder, ignore_errors=True)
