--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,9 +1,9 @@
-"""How long a configuration version takes: `python -m benchmarks.configuration [--nodes N] [--count N]`.
+"""Latency of a configuration version: `python -m benchmarks.configuration [--nodes N] [--count N]`.
 
-Starts control nodes as processes on loopback, and the control part of one front here, and proposes versions
-of a typical size one after the other. Beside them the ways that were weighed: one node with a synced file,
-and what the register costs in messages with a majority of more nodes, up to all fronts (counted, no network).
-The last line is one JSON object; times are milliseconds.
+Starts control nodes as processes on loopback and the control client of one front in this process, and
+proposes versions of a typical size one after the other. For comparison it also measures the alternatives that
+were considered: a single node with a synced file, and quorums of up to all fronts, whose messages are counted
+without a network. The only output is one JSON object; times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -40,16 +40,16 @@
 from marbleglade.testing.discovery_service import DiscoveryService
 from marbleglade.testing.sockets import free_port
 
-PEERS = 250  # a tier's list, which is most of a document
+PEER_COUNT = 250  # peer addresses of a region, which make up most of a document
 START_TIMEOUT = 30.0  # seconds
-MEMBERS = (3, 5, 8, 50, 200, 730)  # of a quorum, for messages
-LOCAL = "127.0.0.1"
+QUORUM_SIZES = (3, 5, 8, 50, 200, 730)  # sizes of the quorums whose messages are counted
+LOOPBACK_HOST = "127.0.0.1"
 
 
-def document(base_version: int) -> str:
-    """A document of a typical size that differs from the one before it."""
-    peers = " ".join(f'peer: "10.0.{number // 250}.{number % 250 + 1}:7000"' for number in range(PEERS))
-    discovery = f"{LOCAL}:{9000 + base_version % 1000}"
+def document_text(base_version: int) -> str:
+    """Return a configuration document of a typical size, which differs for each base version."""
+    peers = " ".join(f'peer: "10.0.{number // 250}.{number % 250 + 1}:7000"' for number in range(PEER_COUNT))
+    discovery = f"{LOOPBACK_HOST}:{9000 + base_version % 1000}"
     return (
         f'deployment: "bench" base_version: {base_version} '
         f'region {{ name: "east" discovery: "{discovery}" }} region {{ name: "west" {peers} }}'
@@ -57,15 +57,15 @@
 
 
 class ConfiguredFront:
-    """A front's part in the control plane without a front: notes when a version came into force."""
+    """The control client of a front without the front; records when each version was applied."""
 
     def __init__(self, settings: control_settings.ControlSettings) -> None:
-        address = (LOCAL, 1)
-        parts = ConfigurationTarget(
+        address = (LOOPBACK_HOST, 1)
+        target = ConfigurationTarget(
             lambda: ActiveConfiguration(address, (), None), None, self._ignore, self._ignore
         )
-        self.configurator = Configurator(settings, "east", parts)
-        self.in_force: dict[int, float] = {}
+        self.configurator = Configurator(settings, "east", target)
+        self.applied_at: dict[int, float] = {}
         guard = ErrorGuard(
             counters := Counters(), Log("bench", counters, sink=os.open(os.devnull, os.O_WRONLY))
         )
@@ -78,71 +78,79 @@
     apply = withdraw = limit_cache_age = _ignore
 
     def configure(self, version: int, text: str) -> None:
-        """Put a version in force."""
+        """Apply a version, and record the time."""
         self.configurator.configure(version, text)
-        self.in_force[version] = time.perf_counter()
+        self.applied_at[version] = time.perf_counter()
 
-    def wait(self, version: int) -> float:
-        """When a version came into force."""
+    def wait_until_applied(self, version: int) -> float:
+        """Wait until a version is applied; return the time in seconds of `time.perf_counter`."""
         with gevent.Timeout(START_TIMEOUT):
-            while version not in self.in_force:
+            while version not in self.applied_at:
                 gevent.sleep(0.001)
-        return self.in_force[version]
+        return self.applied_at[version]
 
 
-class Processes:
-    """Control nodes as processes with stores in a directory."""
+class NodeProcesses:
+    """Control nodes that run as processes, with their settings, stores and logs in one directory."""
 
-    def __init__(self, place: Path, count: int, discovery: tuple[str, int]) -> None:
-        self.file = place / "control.textproto"
+    def __init__(self, folder: Path, count: int, discovery: tuple[str, int]) -> None:
+        self.settings_file = folder / "control.textproto"
         names = [f"c{number}" for number in range(count)]
         regions = "\n".join(
-            f'region {{ name: "{name}" discovery: "{LOCAL}:{discovery[1]}" front: "{name}-1" }}'
+            f'region {{ name: "{name}" discovery: "{LOOPBACK_HOST}:{discovery[1]}" front: "{name}-1" }}'
             for name in ("east", "west")
         )
         nodes = "\n".join(
-            f'node {{ name: "{name}" region: "east" zone: "{name}" address: "{LOCAL}:{free_port()}" '
-            f'quorum_address: "{LOCAL}:{free_port()}" }}'
+            f'node {{ name: "{name}" region: "east" zone: "{name}" address: "{LOOPBACK_HOST}:{free_port()}" '
+            f'quorum_address: "{LOOPBACK_HOST}:{free_port()}" }}'
             for name in names
         )
-        self.file.write_text(f'deployment: "bench"\n{regions}\n{nodes}\n')
+        self.settings_file.write_text(f'deployment: "bench"\n{regions}\n{nodes}\n')
         self.processes = []
         for name in names:
-            words = ["control", "run", str(self.file), "--name", name, "--store", str(place / name)]
-            with (place / f"{name}.log").open("wb") as log:
-                command = [sys.executable, "-O", "-m", "marbleglade", *words]
+            arguments = [
+                "control",
+                "run",
+                str(self.settings_file),
+                "--name",
+                name,
+                "--store",
+                str(folder / name),
+            ]
+            with (folder / f"{name}.log").open("wb") as log:
+                command = [sys.executable, "-O", "-m", "marbleglade", *arguments]
                 self.processes.append(subprocess.Popen(command, stderr=log))
 
     def close(self) -> None:
-        """End them."""
+        """Kill all processes, and wait until they have ended."""
         for process in self.processes:
             process.kill()
             process.wait()
 
 
 def version_ms(count: int, versions: int) -> tuple[list[float], list[float]]:
-    """Times from a proposal to its verdict and to in force at a front, on `count` node processes."""
-    accepted, in_force = [], []
-    coordinator = DiscoveryService()
-    coordinator.announce_address("box", (LOCAL, 9), "box", full_list=True, started_ms=1)
-    with tempfile.TemporaryDirectory() as place:
-        nodes = Processes(Path(place), count, coordinator.address)
+    """Return the ms until each proposal is accepted, and until a front applies it, with `count` nodes."""
+    accepted, applied = [], []
+    discovery_service = DiscoveryService()
+    discovery_service.announce_address("box", (LOOPBACK_HOST, 9), "box", full_list=True, started_ms=1)
+    with tempfile.TemporaryDirectory() as folder:
+        nodes = NodeProcesses(Path(folder), count, discovery_service.address)
         try:
-            settings = control_settings.read(str(nodes.file))
+            settings = control_settings.read(str(nodes.settings_file))
             front = ConfiguredFront(settings)
             for version in range(versions + 1):
-                began, ended = _proposed(settings, version)
+                began, ended = _propose(settings, version)
                 accepted.append((ended - began) * 1e3)
-                in_force.append((front.wait(version + 1) - began) * 1e3)
+                applied.append((front.wait_until_applied(version + 1) - began) * 1e3)
             front.greenlet.kill()
         finally:
             nodes.close()
-            coordinator.close()
-    return accepted[1:], in_force[1:]  # the first waits for the nodes to start
+            discovery_service.close()
+    return accepted[1:], applied[1:]  # the first version also waits until the nodes have started
 
 
-def _proposed(settings: control_settings.ControlSettings, base_version: int) -> tuple[float, float]:
-    text = document(base_version)
+def _propose(settings: control_settings.ControlSettings, base_version: int) -> tuple[float, float]:
+    text = document_text(base_version)
     began = time.perf_counter()
     verdict = Proposer(settings, text, START_TIMEOUT).run()
     assert isinstance(verdict, ProposalAccepted), verdict
@@ -150,26 +158,26 @@
 
 
 def file_ms(versions: int) -> list[float]:
-    """The way with one primary node: a synced file, renamed."""
+    """Return the times (ms) of a single primary node, which writes, syncs and renames a file per version."""
     times = []
-    with tempfile.TemporaryDirectory() as place:
+    with tempfile.TemporaryDirectory() as folder:
         for version in range(versions):
-            text = document(version).encode()
+            text = document_text(version).encode()
             began = time.perf_counter()
-            with open(f"{place}/new", "wb") as file:
+            with open(f"{folder}/new", "wb") as file:
                 file.write(text)
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(f"{place}/new", f"{place}/now")
-            directory = os.open(place, os.O_RDONLY)
+            os.replace(f"{folder}/new", f"{folder}/now")
+            directory = os.open(folder, os.O_RDONLY)
             os.fsync(directory)
             os.close(directory)
             times.append((time.perf_counter() - began) * 1e3)
     return times
 
 
-class Counted:
-    """Replicas in one process: messages and bytes of one version, and of a second without one."""
+class CountedQuorum:
+    """Replicas in one process; counts the messages and bytes of a version and of a second of heartbeats."""
 
     def __init__(self, count: int) -> None:
         names = tuple(f"c{number}" for number in range(count))
@@ -181,10 +189,10 @@
         self.now = 0
         while self.leader.role is not Role.LEADER:
             self.now += HEARTBEAT_INTERVAL_NS
-            self.spread(names[0], self.leader.tick(self.now))
+            self.deliver(names[0], self.leader.tick(self.now))
 
-    def spread(self, sender: str, effects: list[Effect]) -> tuple[int, int]:
-        """Carry out effects and all that follows from them; return messages and bytes."""
+    def deliver(self, sender: str, effects: list[Effect]) -> tuple[int, int]:
+        """Deliver messages until no further ones follow; return the number of messages and bytes."""
         queue = [(sender, effect) for effect in effects]
         messages = size = 0
         while queue:
@@ -196,39 +204,42 @@
                 queue += [(effect.recipient, answer) for answer in answers]
         return messages, size
 
-    def version(self) -> tuple[int, int]:
-        """Messages and bytes until a proposal is chosen and known everywhere."""
-        return self.spread(self.leader.name, self.leader.propose(1, 0, "p", document(0)))
+    def proposed_version(self) -> tuple[int, int]:
+        """Return the messages and bytes until a proposal is chosen and all replicas have learned it."""
+        return self.deliver(self.leader.name, self.leader.propose(1, 0, "p", document_text(0)))
 
-    def second(self) -> tuple[int, int]:
-        """Messages and bytes of heartbeats in one second."""
+    def second_of_heartbeats(self) -> tuple[int, int]:
+        """Return the messages and bytes of the heartbeats in one second."""
         totals = [0, 0]
         for _ in range(1_000_000_000 // HEARTBEAT_INTERVAL_NS):
             self.now += HEARTBEAT_INTERVAL_NS
-            messages, size = self.spread(self.leader.name, self.leader.tick(self.now))
+            messages, size = self.deliver(self.leader.name, self.leader.tick(self.now))
             totals = [totals[0] + messages, totals[1] + size]
         return totals[0], totals[1]
 
 
 def summary(times: list[float]) -> dict[str, float]:
-    """Median and worst, in milliseconds."""
+    """Return the median and the maximum in milliseconds, and the number of values."""
     return {"median": round(statistics.median(times), 2), "worst": round(max(times), 2), "count": len(times)}
 
 
 def main() -> None:
-    """Measures, and prints one JSON object."""
+    """Run the benchmark from the command line, and print one JSON object."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--nodes", type=int, nargs="*", default=[3, 5])
-    parser.add_argument("--count", type=int, default=100, help="versions")
-    words = parser.parse_args()
-    result: dict[str, object] = {"document_bytes": len(document(0)), "file_ms": summary(file_ms(words.count))}
-    for count in words.nodes:
-        accepted, in_force = version_ms(count, words.count)
+    parser.add_argument("--count", type=int, default=100, help="number of versions (default 100)")
+    options = parser.parse_args()
+    result: dict[str, object] = {
+        "document_bytes": len(document_text(0)),
+        "file_ms": summary(file_ms(options.count)),
+    }
+    for count in options.nodes:
+        accepted, applied = version_ms(count, options.count)
         result[f"accepted_ms_{count}"] = summary(accepted)
-        result[f"in_force_ms_{count}"] = summary(in_force)
-    for count in MEMBERS:
-        counted = Counted(count)
-        version, second = counted.version(), counted.second()
+        result[f"in_force_ms_{count}"] = summary(applied)
+    for count in QUORUM_SIZES:
+        quorum = CountedQuorum(count)
+        version, second = quorum.proposed_version(), quorum.second_of_heartbeats()
         result[f"messages_{count}"] = {
             "a_version": version[0],
             "bytes_a_version": version[1],
--- a/benchmarks/control_front.py
+++ b/benchmarks/control_front.py
@@ -1,9 +1,9 @@
-"""What the control plane costs one front: `python -m benchmarks.control_front [--seconds N] [--purges N]`.
+"""Cost of the control plane for one front: `python -m benchmarks.control_front [--seconds N] [--purges N]`.
 
-Two fronts run side by side, each a process and without requests. One follows a stand-in of the discovery
-service that sends no events; the other follows two scripted control nodes that send the same purges. The
-difference of their processor time and memory is the cost; bytes are counted at the nodes. All on loopback.
-The last line is JSON.
+Runs two fronts at the same time, each in its own process and without requests. One follows a stand-in of the
+discovery service that sends no events; the other follows two scripted control nodes that send the same
+purges. The cost is the difference of their processor time and memory; bytes are counted at the nodes. All
+connections are on loopback. The only output is one JSON object.
 """
 
 from __future__ import annotations
@@ -25,46 +25,46 @@
 from marbleglade.testing.front_settings import front_configuration, front_settings
 from marbleglade.testing.sockets import free_port
 
-WARM_UP_S = 3.0  # start, greetings, the first list
-SECOND_NODE_LAG_S = 0.02  # by which the second node sends a purge later
+WARM_UP_S = 3.0  # time to start, connect and receive the first endpoint list
+SECOND_NODE_LAG_S = 0.02  # delay after which the second node sends the same purge
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
-CACHES = 78
+CACHES = 78  # entries of the endpoint list
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used so far; `memory_mb` is resident, in MiB."""
+    """Processor time of a process since its start, and its resident memory in MiB."""
 
     cpu_seconds: float
     memory_mb: float
 
 
-class MeteredNode(StandInControlNode):
-    """A scripted node that counts the bytes it writes to the one front."""
+class ByteCountingNode(StandInControlNode):
+    """A scripted control node that counts the bytes on the connections of the front."""
 
     written = 0
 
     def broadcast(self, data: bytes) -> None:
-        """Count bytes, and write them."""
+        """Write data to all connections, and count its bytes."""
         self.written += len(data) * len(self.sockets)
         super().broadcast(data)
 
     @property
     def received(self) -> int:
-        """Bytes that the front wrote."""
+        """Number of bytes that the front has sent."""
         return sum(len(line) + 1 for line in self.received_lines)
 
 
 def usage(process: subprocess.Popen[bytes]) -> Usage:
-    """Read what a process has used."""
+    """Return the processor time and memory of a process."""
     fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
     status = Path(f"/proc/{process.pid}/status").read_text()
     resident = next(line for line in status.splitlines() if line.startswith("VmRSS"))
     return Usage((int(fields[11]) + int(fields[12])) / CLOCK_TICKS, int(resident.split()[1]) / 1024)
 
 
-def caches() -> list[dict[str, object]]:
-    """Return the endpoint list that every source sends."""
+def endpoint_list() -> list[dict[str, object]]:
+    """Return the endpoint list that the discovery service and the nodes send."""
     return [
         {
             "id": f"k{number}",
@@ -82,8 +82,8 @@
 def start_front(
     path: Path, name: str, discovery_service: DiscoveryService, control: str
 ) -> subprocess.Popen[bytes]:
-    """Start a front; `control` is its settings file, empty for none."""
-    first = {"index": 1, "endpoints": {"version": 1, "full": True, "servers": caches()}}
+    """Start a front; `control` is the path of its control plane settings, or empty for no control plane."""
+    first = {"index": 1, "endpoints": {"version": 1, "full": True, "servers": endpoint_list()}}
     text = front_configuration(
         name,
         ("127.0.0.1", free_port()),
@@ -102,8 +102,8 @@
         return subprocess.Popen(command, stderr=log, env=environ)
 
 
-def write_settings(path: Path, nodes: list[MeteredNode], discovery_service: DiscoveryService) -> str:
-    """Write the control plane's settings, with the front `on`; return their path."""
+def write_settings(path: Path, nodes: list[ByteCountingNode], discovery_service: DiscoveryService) -> str:
+    """Write control plane settings that contain the front "on"; return their path."""
     discovery = ":".join(map(str, discovery_service.address))
     lines = [
         'deployment: "d"',
@@ -118,8 +118,8 @@
     return str(path / "control.textproto")
 
 
-def publish_purges(nodes: list[MeteredNode], per_second: float, seconds: float) -> int:
-    """Publish purges at a rate, each by both nodes; return how many."""
+def publish_purges(nodes: list[ByteCountingNode], per_second: float, seconds: float) -> int:
+    """Publish purges at a rate, each by both nodes; return the number of purges."""
     began, count = time.monotonic(), 0
     while time.monotonic() - began < seconds:
         count += 1
@@ -132,13 +132,15 @@
 
 
 def measure(path: Path, per_second: float, seconds: float) -> dict[str, float]:
-    """Measure one run; return the figures by the keys of the printed line."""
+    """Measure one run; return the figures by the keys of the printed JSON object."""
     discovery_service = DiscoveryService()
-    nodes = [MeteredNode(f"c{number}", "d", f"s{number}") for number in (1, 2)]
+    nodes = [ByteCountingNode(f"c{number}", "d", f"s{number}") for number in (1, 2)]
     for node in nodes:
-        node.announce(caches(), full_list=True)
+        node.announce(endpoint_list(), full_list=True)
     control = write_settings(path, nodes, discovery_service)
-    discovery_service.event_lines.append(b"")  # the number that the fronts were started with
+    discovery_service.event_lines.append(
+        b""
+    )  # occupies index 1, which the first lists in the fronts' files have
     fronts = [
         start_front(path, "off", discovery_service, ""),
         start_front(path, "on", discovery_service, control),
@@ -170,15 +172,15 @@
     }
 
 
-def _applied(node: MeteredNode) -> list[int]:
+def _applied(node: ByteCountingNode) -> list[int]:
     return [int(line.split()[1]) for line in node.received_lines if line.startswith("applied ")]
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run the benchmark from the command line, and print one JSON object."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=20.0)
-    parser.add_argument("--purges", type=float, default=12.0, help="a second")
+    parser.add_argument("--purges", type=float, default=12.0, help="purges per second (default 12)")
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as path:
         print(json.dumps(measure(Path(path), options.purges, options.seconds)))
--- a/benchmarks/control_node.py
+++ b/benchmarks/control_node.py
@@ -1,8 +1,8 @@
-"""What one control node costs: `python -m benchmarks.control_node [--watchers N] [--seconds S] [--plain]`.
+"""Cost of one control node: `python -m benchmarks.control_node [--watchers N] [--seconds S] [--plain]`.
 
-One node as a process, one process that stands in for all fronts, and the stand-in discovery service in this
-one, on loopback. The last line is one JSON object. With --plain there is no node: the watchers follow the
-stand-in discovery service itself as plain watchers, and its own process is measured.
+Runs a control node in one process, watchers that stand in for all fronts in another, and a stand-in of the
+discovery service in this process, on loopback. The only output is one JSON object. With --plain there is no
+node: the watchers follow the stand-in discovery service directly, and this process is measured.
 """
 
 from __future__ import annotations
@@ -27,32 +27,34 @@
 
 PURGES_PER_S = 12
 CACHES = 78
-WARM_UP_S = 3.0  # after the last connection
+WARM_UP_S = 3.0  # wait after the last watcher has connected
 NODE_START_TIMEOUT_S = 20
 BYTES_PER_MB = 1e6
 
 
 class MissingStatusError(RuntimeError):
-    """The control node did not answer with its status."""
+    """The control node did not return its status."""
 
 
-def percentile(values: list[float], part: float) -> float:
-    """A percentile of some values; `part` is from 0 to 1."""
+def percentile(values: list[float], fraction: float) -> float:
+    """Return a percentile of the values; `fraction` is from 0 to 1."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 @dataclass(frozen=True, slots=True)
 class DistributionFigures:
-    """The figures of purges that were sent to watchers, with the keys of the printed line.
+    """Figures of the distribution of purges to watchers; the fields are keys of the printed JSON object.
 
     Attributes:
         core_share: Processor time of the node, or of the discovery service, as a share of a core.
-        stand_in_core_share: That of the process that stands in for the fronts.
-        memory_mb: Resident memory of the node, or of the discovery service.
-        bytes_per_s_in_mean: Received by a watcher.
-        bytes_per_s_out_mean: Sent by a watcher.
-        to_last_watcher_ms_p99: From the publication of a purge to its arrival at the last watcher.
+        stand_in_core_share: Processor time of the watchers' process, as a share of a core.
+        memory_mb: Resident memory of the node, or of the discovery service, in megabytes.
+        bytes_per_s_in_mean: Mean receive rate of a watcher.
+        bytes_per_s_in_worst: Highest receive rate of a watcher.
+        bytes_per_s_out_mean: Mean send rate of a watcher.
+        to_last_watcher_ms_p99: 99th percentile of the time from the publication of a purge until the last
+            watcher has received it.
     """
 
     purges: int
@@ -68,12 +70,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfirmationFigures:
-    """What the node's status shows of purges.
+    """Acknowledgements of purges as the status of the node shows them.
 
     Attributes:
-        confirmed: Purges that every front acknowledged.
-        acknowledged_ms_p99: From the receipt of a purge to the last connected front's first acknowledgement.
-        acknowledged_ms_worst: The same of the slowest purge.
+        confirmed: Number of purges that every front acknowledged.
+        acknowledged_ms_p99: 99th percentile of the time from the receipt of a purge by the node until each
+            connected front has acknowledged it.
+        acknowledged_ms_worst: The same time for the slowest purge.
     """
 
     confirmed: int
@@ -81,7 +84,7 @@
     acknowledged_ms_worst: float
 
     def printed(self) -> dict[str, float]:
-        """Return them by the keys of the printed line."""
+        """Return the figures by the keys of the printed JSON object."""
         return {
             "confirmed": self.confirmed,
             "last_word_ms_p99": self.acknowledged_ms_p99,
@@ -95,7 +98,7 @@
     Args:
         watchers: Number of watchers.
         seconds: Length of the measurement.
-        plain: The watchers follow the stand-in discovery service, without a node.
+        plain: Whether the watchers follow the stand-in discovery service directly, without a node.
     """
     with ExitStack() as stack:
         discovery = _start_discovery_service()
@@ -147,7 +150,7 @@
 def _confirmation_figures(settings_path: Path) -> ConfirmationFigures:
     answer = query_all(read(str(settings_path)), 5.0)[0]
     if answer.status is None:
-        raise MissingStatusError(f"{answer.name}: {answer.error}")
+        raise MissingStatusError(f"control node {answer.name} returned no status: {answer.error}")
     purges = [purge for purge in answer.status.purges if purge.live]
     latencies_ms: list[float] = [purge.acknowledgements.connected_latency_ms for purge in purges]
     return ConfirmationFigures(
@@ -158,7 +161,7 @@
 
 
 def _publish_purges(discovery: DiscoveryService, seconds: float) -> dict[int, float]:
-    """Publish purges for so many seconds; return when (Unix seconds), by the purge's Unix ms."""
+    """Publish purges for `seconds`; return the Unix seconds of each publication by the purge's Unix ms."""
     published: dict[int, float] = {}
     began = time.monotonic()
     while (elapsed := time.monotonic() - began) < seconds:
@@ -173,7 +176,7 @@
 def _measure_distribution(
     discovery: DiscoveryService, stand_in: WatcherProcess, measured: int, seconds: float
 ) -> DistributionFigures:
-    """Publish purges and compare before and after; `measured` is the process id of the server."""
+    """Measure while purges are published; `measured` is the process id of the node or discovery service."""
     before, began = stand_in.report(), time.monotonic()
     server_before, stand_in_before = processor_time_of(measured), processor_time_of(stand_in.pid)
     published = _publish_purges(discovery, seconds)
@@ -204,7 +207,7 @@
 
 
 def main() -> None:
-    """Read the command line and print the figures."""
+    """Run the benchmark from the command line, and print one JSON object."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--watchers", type=int, default=730)
     parser.add_argument("--seconds", type=float, default=20.0)
--- a/benchmarks/control_watchers.py
+++ b/benchmarks/control_watchers.py
@@ -1,6 +1,6 @@
-"""Watchers of a control node or discovery service in one process, which stands in for all fronts.
+"""Watchers of a control node or discovery service in one process that stands in for all fronts.
 
-Arguments: the port on loopback, the number of watchers, and --plain if they watch a discovery service.
+Arguments: the port on loopback, the number of watchers, and --plain if the port is a discovery service's.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 from gevent import socket
 from gevent.fileobject import FileObject
 
-ACKNOWLEDGEMENT_INTERVAL_S = 0.1  # between two acknowledgements of one front, at least
-LONGEST_RUN_S = 600.0
-CONNECTIONS_PER_PAUSE = 20  # watchers that connect before the others get their turn
+ACKNOWLEDGEMENT_INTERVAL_S = 0.1  # minimum time between two acknowledgements of one watcher
+LONGEST_RUN_S = 600.0  # the watchers' process exits after this time
+CONNECTIONS_PER_PAUSE = 20  # watchers that connect between two pauses for the other greenlets
 READY = b"ready\n"
 
 
 class WatcherProcessError(RuntimeError):
-    """The process that stands in for the fronts did not start, or ended early."""
+    """The watchers' process did not start, or ended early."""
 
 
 class Watcher:
-    """A front as a node sees it, which acknowledges at most every 100 ms what it has applied.
+    """Behaves to a node like a front: acknowledges its last applied event at most every 100 ms.
 
     Args:
-        address: Of the node or discovery service.
-        name: The front's name.
-        plain: It watches a discovery service.
-        arrivals: Where the latest arrival of each purge is recorded (Unix seconds), by the purge's Unix ms.
+        address: Address of the node or discovery service.
+        name: Name of the front.
+        plain: Whether it watches a discovery service, which gets no acknowledgements.
+        arrivals: Receives the latest arrival of each purge (Unix seconds), by the purge's Unix ms.
     """
 
     def __init__(self, address: tuple[str, int], name: str, plain: bool, arrivals: dict[int, float]) -> None:
@@ -79,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WatcherReport:
-    """What the watchers received so far; one line of JSON between the two processes.
+    """What the watchers have transferred so far; sent to the benchmark as one line of JSON.
 
     Attributes:
-        bytes_in: Received by each watcher.
-        bytes_out: Sent by each watcher.
-        arrivals: Unix ms of each purge, and Unix seconds of its arrival at the last watcher.
+        bytes_in: Bytes received by each watcher.
+        bytes_out: Bytes sent by each watcher, without its first lines.
+        arrivals: Pairs of the Unix ms of a purge and the Unix seconds of its arrival at the last watcher.
     """
 
     bytes_in: list[int]
@@ -93,7 +93,7 @@
 
 
 def watch(address: tuple[str, int], count: int, plain: bool) -> None:
-    """Run so many watchers; report on standard output at each SIGUSR1."""
+    """Run `count` watchers; write a report to standard output at each SIGUSR1."""
     arrivals: dict[int, float] = {}
     watchers: list[Watcher] = []
     for number in range(count):
@@ -117,12 +117,12 @@
 
 
 class WatcherProcess:
-    """The process that stands in for all fronts, seen from the benchmark. Raises `WatcherProcessError`.
+    """The watchers' process, as the benchmark controls it. Raises `WatcherProcessError`.
 
     Args:
-        port: Of the node or discovery service on loopback.
+        port: Port of the node or discovery service on loopback.
         count: Number of watchers.
-        plain: They watch a discovery service.
+        plain: Whether the watchers watch a discovery service.
     """
 
     def __init__(self, port: int, count: int, plain: bool) -> None:
@@ -133,32 +133,32 @@
         self._output = FileObject(self._process.stdout, "rb")
         if self._output.readline() != READY:
             self.close()
-            raise WatcherProcessError("the process that stands in for the fronts did not start")
+            raise WatcherProcessError("the watchers' process ended before it printed that it was ready")
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """Process id."""
         return self._process.pid
 
     def report(self) -> WatcherReport:
-        """Ask it for its report and return that."""
+        """Request a report from the process, and return it."""
         self._process.send_signal(signal.SIGUSR1)
         line = self._output.readline()
         if not line:
-            raise WatcherProcessError("the process that stands in for the fronts ended")
+            raise WatcherProcessError("the watchers' process ended before it printed its report")
         content = orjson.loads(line)
         arrivals = [(unix_ms, arrived_at) for unix_ms, arrived_at in content["arrivals"]]
         return WatcherReport(content["bytes_in"], content["bytes_out"], arrivals)
 
     def close(self) -> None:
-        """End it."""
+        """Stop the process."""
         self._process.terminate()
         self._process.wait()
         self._output.close()
 
 
 def main() -> None:
-    """Read the command line and run the watchers."""
+    """Run the watchers from the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("port", type=int)
     parser.add_argument("watchers", type=int)
--- a/benchmarks/disk_layouts.py
+++ b/benchmarks/disk_layouts.py
@@ -1,6 +1,7 @@
-"""Layouts of parts on disk, measured: a file for each part, blobs in LMDB, and the disk cache's segments.
+"""Compares layouts of parts on disk: a file for each part, blobs in LMDB, and the disk cache's segments.
 
-Writes parts of 4 to 200 KB with a sync after each 64, then reads them at random; prints a line each and JSON.
+Writes parts of 4 to 200 KB with a sync after every 64, then reads parts at random. Prints a row for each
+layout, and one JSON object as the last line.
 """
 
 from __future__ import annotations
@@ -28,17 +29,17 @@
 
 PARTS_PER_SYNC = 64
 DIRECTORIES = 256
-BLOCK_BYTES = 512  # in which the system counts the space of a file
+BLOCK_BYTES = 512  # unit of `st_blocks`
 PARTS, QUICK_PARTS = 4000, 1000
 ETAG = "00000000000000aa"
 
 
-class WrongBytesError(Exception):
+class LayoutError(Exception):
     """A layout did not store a part, or returned other bytes."""
 
 
 class Layout(Protocol):
-    """A way to keep parts, by their numbers."""
+    """Storage of parts by their numbers."""
 
     def put(self, number: int, body: bytes) -> None:
         """Store a part; durable after `sync`."""
@@ -105,7 +106,7 @@
 
 
 class Segments:
-    """The disk cache."""
+    """Parts in the segments of the disk cache."""
 
     def __init__(self, directory: Path) -> None:
         path, budget = str(directory), WriteBudget(1e15, 1, 2)
@@ -116,7 +117,7 @@
         """Store a part; durable after `sync`."""
         self._cache.eviction.record_use(part_key(number, 0))
         if not self._cache.put(number, 0, CachedPart(body, ETAG, 1, 1), 0):
-            raise WrongBytesError(f"part {number} was not stored")
+            raise LayoutError(f"part {number} was not stored")
 
     def sync(self) -> None:
         """Make all parts durable."""
@@ -135,8 +136,8 @@
 }
 
 
-def measure(create: Callable[[Path], Layout], bodies: list[bytes], draws: random.Random) -> dict[str, float]:
-    """Write all parts to a new layout and read as many; return its speed, and its space over their size."""
+def measure(create: Callable[[Path], Layout], bodies: list[bytes], rng: random.Random) -> dict[str, float]:
+    """Write all parts to a new layout, then read as many; return speeds, and disk space over size."""
     directory = Path(tempfile.mkdtemp(prefix="marbleglade-layout-"))
     try:
         layout, began = create(directory), time.monotonic()
@@ -146,7 +147,7 @@
                 layout.sync()
         layout.sync()
         write_seconds = time.monotonic() - began
-        read_seconds = sorted(_read_one(layout, bodies, draws) for _ in bodies)
+        read_seconds = sorted(_read_one(layout, bodies, rng) for _ in bodies)
         files = (path.stat() for path in directory.rglob("*") if path.is_file())
         space, size = sum(file.st_blocks * BLOCK_BYTES for file in files), sum(map(len, bodies))
         return {
@@ -158,13 +159,15 @@
         shutil.rmtree(directory, ignore_errors=True)
 
 
-def _read_one(layout: Layout, bodies: list[bytes], draws: random.Random) -> float:
-    number = draws.randrange(len(bodies))
+def _read_one(layout: Layout, bodies: list[bytes], rng: random.Random) -> float:
+    number = rng.randrange(len(bodies))
     began = time.perf_counter()
     body = layout.get(number + 1)
     seconds = time.perf_counter() - began
     if body != bodies[number]:
-        raise WrongBytesError(f"part {number + 1} came back with other bytes")
+        raise LayoutError(
+            f"part {number + 1}: read {len(body)} bytes that differ from the {len(bodies[number])} written"
+        )
     return seconds
 
 
@@ -176,13 +179,13 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--quick", action="store_true")
     arguments = parser.parse_args()
-    draws = random.Random(arguments.seed)
+    rng = random.Random(arguments.seed)
     sizes = [
-        draws.randrange(4000, 12_000) if draws.random() < 0.75 else draws.randrange(60_000, 200_000)
+        rng.randrange(4000, 12_000) if rng.random() < 0.75 else rng.randrange(60_000, 200_000)
         for _ in range(QUICK_PARTS if arguments.quick else PARTS)
     ]
-    bodies = [draws.randbytes(size) for size in sizes]
-    rows = {name: measure(create, bodies, draws) for name, create in LAYOUTS.items()}
+    bodies = [rng.randbytes(size) for size in sizes]
+    rows = {name: measure(create, bodies, rng) for name, create in LAYOUTS.items()}
     print(f"{'layout':12}{'MB/s written':>14}{'read, us':>12}{'space':>10}")
     for name, row in rows.items():
         print(f"{name:12}{row['write_mb_s']:14.1f}{row['read_median_us']:12.1f}{row['space']:10.3f}")
--- a/benchmarks/fleet_load.py
+++ b/benchmarks/fleet_load.py
@@ -1,4 +1,4 @@
-"""Clients of every front of a fleet, and the rules that no fleet may break."""
+"""Client load on every front of a fleet, and the rules that hold for every fleet."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from .request_stream import ClientPool, RequestStream
 
 OBJECTS = 300
-OBJECT_SKEW = 3  # the larger, the more requests go to few objects
-VIDEO_EVERY = 4  # one object in so many is a video
+OBJECT_SKEW = 3  # exponent of the popularity; a larger one concentrates requests on fewer objects
+VIDEO_EVERY = 4  # one object in four is a video
 DOWN_MARGIN_S, UP_MARGIN_S, FOREVER_S = 0.1, 0.2, 3600
-SETTLE_S = 0.5  # until requests are answered whose share is asked for
+SETTLE_S = 0.5  # time for the last requests of a measured period to be answered
 EFFECT_TIMEOUT_MS = 2000
 
 
 class FleetLoad:
-    """One stream of requests at each front.
+    """One stream of requests to each front.
 
     Args:
         fleet: The fronts.
         seed: Seed of requests and objects.
-        rates: By front, requests per second.
-        objects: Number of objects that are asked for.
+        rates: Requests per second for each front.
+        objects: Number of different objects.
     """
 
     def __init__(self, fleet: FrontFleet, seed: int, rates: list[float], objects: int = OBJECTS) -> None:
@@ -49,37 +49,37 @@
         )
 
     def object_for(self, number: int) -> int:
-        """Return the object of a request, by its number."""
+        """Return the object of the request with this number."""
         rank = int(hashed_fraction(self._seed, "thing", number) ** OBJECT_SKEW * self._objects)
         low_bits = VIDEO_BITS if rank % VIDEO_EVERY == 0 else 0
         return int(hashed_fraction(self._seed, "object", rank) * 2**56) << 2 | low_bits
 
     def was_up(self, front: int, start: float, end: float) -> bool:
-        """Return whether a front was up all through that time."""
+        """Return whether a front was up from `start` to `end` (monotonic seconds)."""
         return all(end < begin or start > over for begin, over in self._outages[front])
 
     def mark_down(self, *fronts: int) -> None:
-        """Excuse requests at these fronts from now on."""
+        """Record that these fronts are down: failed requests to them are excused from now on."""
         for front in fronts:
             self._outages[front].append((now() - DOWN_MARGIN_S, now() + FOREVER_S))
 
     def mark_up(self, front: int) -> None:
-        """Excuse requests at this front no longer."""
+        """Record that a front is up again: failed requests to it are no longer excused."""
         self._outages[front][-1] = self._outages[front][-1][0], now() + UP_MARGIN_S
 
     def disconnect(self, front: int) -> None:
-        """End the load of a front, and wait for what is in flight: before it is stopped."""
+        """Stop the load on a front that is about to be stopped, and wait for its requests in flight."""
         gevent.kill(self._loops[front])
         self.streams[front].finish()
         self.mark_down(front)
 
     def set_rate_factor(self, factor: float) -> None:
-        """Raise all rates by a factor."""
+        """Send requests at the original rates times `factor`."""
         for stream in self.streams:
             stream.rate_factor = factor
 
     def served_share(self, seconds: float) -> float:
-        """Run on for so long; return the share that was served of what was sent meanwhile."""
+        """Wait for `seconds`; return the served share of the requests that were sent in that time."""
         start = now()
         gevent.sleep(seconds)
         end = now()
@@ -87,8 +87,10 @@
         return self.results.served_share(start, end)
 
     def finish(self) -> int:
-        """End the load; return the number of duplicate and malformed responses."""
-        gevent.killall(self._loops)  # first: a stream sends one more request after its last wait
+        """Stop the load on all fronts; return the number of duplicate and malformed responses."""
+        gevent.killall(
+            self._loops
+        )  # kill the loops first: a finished stream would send one more request after its wait
         for stream in self.streams:
             stream.finish()
         errors = sum(stream.pool.protocol_errors() for stream in self.streams)
@@ -101,7 +103,7 @@
 def broken_rules(
     fleet: FrontFleet, results: RequestResults, duplicates: int, faults: list[str]
 ) -> Counter[str]:
-    """Count what no fleet may ever do, at its end; the names are those of the benchmarks' results."""
+    """Count the violations at the end of a run, by their keys in the results of the benchmarks."""
     return Counter(
         lost=results.lost,
         doubled=duplicates,
@@ -113,7 +115,7 @@
 
 
 def send_order(fleet: FrontFleet, number: int, object_id: int) -> None:
-    """Send a request that must not take effect twice, at one front after the other by its number."""
+    """Send an order, which must not take effect twice, to the front that follows from its number."""
     try:
         client = Client(fleet.client_addresses[number % fleet.count], 900 + number)
     except OSError:
--- a/benchmarks/logs.py
+++ b/benchmarks/logs.py
@@ -1,4 +1,4 @@
-"""What a log line costs: the front's writer, and structlog onto orjson with the same sink."""
+"""Compares the cost of a log line: the program's own writer, and structlog with orjson and the same sink."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def cost(log: Log, count: int) -> float:
-    """Microseconds of processor time of a line such as each attempt brings in debug."""
+    """Return the processor time (us) of a log line like that of each attempt at debug level."""
     start = time.process_time_ns()
     for number in range(count):
         log.info(
@@ -32,9 +32,11 @@
 
 
 def main() -> int:
-    """Run the benchmark; return the exit code."""
+    """Run the benchmark from the command line; return the exit code."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.logs", description=__doc__)
-    parser.add_argument("--seed", type=int, default=1, help="taken, and of no effect here")
+    parser.add_argument(
+        "--seed", type=int, default=1, help="accepted like in other benchmarks, without effect"
+    )
     parser.add_argument("--quick", action="store_true")
     arguments = parser.parse_args()
     count = 20_000 if arguments.quick else 100_000
--- a/benchmarks/no_upstreams.py
+++ b/benchmarks/no_upstreams.py
@@ -1,4 +1,4 @@
-"""A sender of attempts for fronts that have no upstreams, as where only their events are measured."""
+"""An upstream client without upstreams, for benchmarks that send a front events but no requests."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class NoUpstreamError(RuntimeError):
-    """An attempt was sent, although the front has no upstreams."""
+    """An upstream was to be contacted, although the front has none."""
 
 
 class NoUpstreams:
-    """Stands in for the connections to upstreams, of which there are none.
+    """Replaces the upstream client of a front that has no upstreams.
 
     Attributes:
-        body_budget: Bytes of response bodies: none is ever reserved.
-        in_flight: The number of requests in flight by upstream: none.
+        body_budget: Budget of 0 bytes for response bodies.
+        in_flight: Requests in flight by upstream; always empty.
     """
 
     def __init__(self) -> None:
@@ -29,15 +29,19 @@
 
     def execute(self, client_request: ClientRequest, order: AttemptOrder) -> UpstreamResult:
         """Raise `NoUpstreamError`."""
-        raise NoUpstreamError(f"{client_request.trace_id}: {order}")
+        raise NoUpstreamError(
+            f"request {client_request.trace_id}: attempt {order} needs an upstream, but the front has none"
+        )
 
     def request_load_report(self, upstream: Upstream, timeout: int) -> dict[str, float]:
         """Raise `NoUpstreamError`."""
-        raise NoUpstreamError(f"load report of {upstream} within {timeout} ns")
+        raise NoUpstreamError(
+            f"load report of {upstream} requested within {timeout} ns, but the front has no upstreams"
+        )
 
     def release_body(self, result: UpstreamResult) -> None:
         """Raise `NoUpstreamError`."""
-        raise NoUpstreamError(f"no such result: {result}")
+        raise NoUpstreamError(f"body of {result} released, but the front has no upstreams")
 
     def drop_connections(self, upstreams: list[Upstream]) -> None:
         """Do nothing: there are no connections."""
--- a/benchmarks/open_forwarded_requests.py
+++ b/benchmarks/open_forwarded_requests.py
@@ -1,7 +1,7 @@
-"""What a forwarded request costs while 10 to 10,000 others are open: time and memory should stay flat.
+"""Cost of a forwarded request while 10 to 10,000 others are open: time and memory should stay constant.
 
-One gateway in each region, one cache that keeps the requests of a class waiting. Figures come from stand-ins
-on loopback.
+There is one gateway in each region, and one cache that holds back its responses to one request class. Figures
+come from stand-ins on loopback.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 link { beat_ms: 100 silent_ms: 4000 book_carries: 65536 }
 """
 WAITING_CLASS, WAITING_TIMEOUT_MS = "waits", 150_000
-RELEASE_SPREAD_S = 8.0  # so that this process does not stall when all are answered
-REQUESTS_PER_CONNECTION = 250  # that are open on it
+RELEASE_SPREAD_S = 8.0  # spreads the held responses so that this process does not stall
+REQUESTS_PER_CONNECTION = 250  # open requests on one connection
 BATCH, WARM_UP_BATCH, WORKERS = 1000, 2000, 8
 SIZES, QUICK_SIZES = [10, 100, 1000, 10_000], [10, 100, 1000]
 COLUMNS = ("open", "still_open", "answered", "near_ms", "far_ms", "near_bytes", "far_bytes")
 
 
 class OpenRequestsBenchmark:
-    """Two gateways, a cache that holds requests back, and the requests that it holds."""
+    """Two gateways, a cache that holds responses back, and the requests that wait for them."""
 
     def __init__(self, seed: int) -> None:
         self._seed, self._folder, self._request_count = seed, new_folder(), 0
@@ -52,7 +52,7 @@
         ]
         self._address = ("127.0.0.1", self._regions.east.ports["east-1"][1])
         self._clients: list[CacheClient] = []
-        self._open: list[gevent.Greenlet] = []
+        self._waiting_requests: list[gevent.Greenlet] = []
 
     def _deployment_without_proxies(self) -> str:
         lines = self._regions.deployment_text().splitlines()
@@ -80,46 +80,46 @@
                 gevent.sleep(0.1)
 
     def _send_batch(self, count: int) -> int:
-        """Send requests, a few at once; return how many were served."""
-        client, left, served = CacheClient(self._address), list(range(count)), []
+        """Send requests, `WORKERS` at a time; return the number that were served."""
+        client, remaining, served = CacheClient(self._address), list(range(count)), []
 
-        def work() -> None:
-            while left:
-                left.pop()
+        def send_remaining() -> None:
+            while remaining:
+                remaining.pop()
                 served.append(self._request(client, 2000))
 
-        gevent.joinall([gevent.spawn(work) for _ in range(WORKERS)])
+        gevent.joinall([gevent.spawn(send_remaining) for _ in range(WORKERS)])
         client.close()
         return sum(served)
 
     def _open_requests(self, count: int) -> None:
-        """Send requests that are held back, until so many are open."""
-        while len(self._open) < count:
-            if len(self._open) % REQUESTS_PER_CONNECTION == 0:
+        """Send requests whose responses are held back until `count` are open."""
+        while len(self._waiting_requests) < count:
+            if len(self._waiting_requests) % REQUESTS_PER_CONNECTION == 0:
                 self._clients.append(CacheClient(self._address))
             request = self._clients[-1].request
-            self._open.append(
+            self._waiting_requests.append(
                 gevent.spawn(request, WAITING_CLASS, self._next_object(), 0, WAITING_TIMEOUT_MS)
             )
-            if len(self._open) % 50 == 0:
+            if len(self._waiting_requests) % 50 == 0:
                 gevent.sleep(0.03)
         gevent.sleep(0.5)
 
     def _measure(self, count: int) -> dict[str, float]:
-        """Return the row of the table with so many requests open."""
+        """Measure with `count` open requests; return a row of the table."""
         memory_before = [gateway.memory() for gateway in self._gateways]
-        opened = max(1, count - len(self._open))
+        opened = max(1, count - len(self._waiting_requests))
         self._open_requests(count)
-        memory = [one.memory() - then for one, then in zip(self._gateways, memory_before, strict=True)]
-        busy = [gateway.processor_time() for gateway in self._gateways]
+        memory = [one.memory() - earlier for one, earlier in zip(self._gateways, memory_before, strict=True)]
+        time_before = [gateway.processor_time() for gateway in self._gateways]
         answered = self._send_batch(BATCH)
         cost_ms = [
-            (gateway.processor_time() - then) / BATCH * 1000
-            for gateway, then in zip(self._gateways, busy, strict=True)
+            (gateway.processor_time() - earlier) / BATCH * 1000
+            for gateway, earlier in zip(self._gateways, time_before, strict=True)
         ]
         return {
             "open": count,
-            "still_open": sum(not request.ready() for request in self._open),
+            "still_open": sum(not request.ready() for request in self._waiting_requests),
             "answered": answered,
             "near_ms": round(cost_ms[0], 4),
             "far_ms": round(cost_ms[1], 4),
@@ -130,13 +130,13 @@
     def run(self, sizes: list[int]) -> dict[str, Any]:
         """Measure with each number of open requests; print the table and return the figures."""
         self._wait_until_ready()
-        warm = 0
-        while warm < max(sizes) * 11 // 10:  # a region is sent more only as it answers
-            warm += self._send_batch(WARM_UP_BATCH)
+        served = 0
+        while served < max(sizes) * 11 // 10:  # a region's request limit grows only with its responses
+            served += self._send_batch(WARM_UP_BATCH)
         rows = [self._measure(count) for count in sizes]
         self._release.set()
-        gevent.joinall(self._open, timeout=20)
-        answered = sum(one.value is not None and one.value.status == "HIT" for one in self._open)
+        gevent.joinall(self._waiting_requests, timeout=20)
+        answered = sum(one.value is not None and one.value.status == "HIT" for one in self._waiting_requests)
         print(f"seed {self._seed}; figures from stand-ins on loopback\n")
         print("".join(f"{name:>12}" for name in COLUMNS))
         for row in rows:
@@ -146,7 +146,7 @@
             "seed": self._seed,
             "rows": rows,
             "held_answered": answered,
-            "held": len(self._open),
+            "held": len(self._waiting_requests),
             "cost_growth": round(costs[-1] / costs[0], 3),
         }
         print(
@@ -156,7 +156,7 @@
         return figures
 
     def close(self) -> None:
-        """End everything."""
+        """End the gateways, and close all connections and stand-ins."""
         for gateway in self._gateways:
             gateway.kill()
         for client in self._clients:
@@ -166,12 +166,12 @@
 
 
 def main() -> int:
-    """Run the benchmark; return the exit code."""
+    """Run the benchmark from the command line; return the exit code."""
     parser = argparse.ArgumentParser(
         prog="python -m benchmarks.open_forwarded_requests", description=__doc__.splitlines()[0]
     )
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--quick", action="store_true", help="to 1,000 only")
+    parser.add_argument("--quick", action="store_true", help="at most 1,000 open requests")
     arguments = parser.parse_args()
     benchmark = OpenRequestsBenchmark(arguments.seed)
     try:
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,8 +1,8 @@
-"""Overload handled by a fleet as one, beside fronts that each decide alone and ones that know the true state.
+"""Overload of a cooperating fleet, of fronts that decide alone, and of fronts that are told the true state.
 
-Measured are (a) the real policy and fleet core on simulated time, by size of the fleet, and (b) processes of
-the program under faults drawn from the seed. All figures come from stand-ins on loopback and simulated
-upstreams. The last line is one JSON object. Exit code 1: a rule broke.
+Measures (a) the real policy and fleet code in simulated time, by size of the fleet, and (b) processes of the
+program under faults drawn from the seed. All figures come from stand-ins on loopback and simulated upstreams.
+The last line is one JSON object. Exit code 1 means that a rule was broken.
 """
 
 from __future__ import annotations
@@ -29,7 +29,13 @@
 
 FAULTS = ("slow", "silent", "fails")
 WARM_UP = WarmUpLimit(0.2, 3.0, 3.0, 0.5, 120.0)
-FAULT_BEGIN, FAULT_END, FLOOD, DEATH, END = 2.0, 6.0, 8.0, 10.5, 15.0  # seconds
+FAULT_BEGIN, FAULT_END, FLOOD, KILL, END = (
+    2.0,
+    6.0,
+    8.0,
+    10.5,
+    15.0,
+)  # seconds from the start of the script
 FLOOD_SECONDS, FLOOD_FACTOR = 1.0, 3.0
 SLOW_SECONDS = 2.5
 LOSS_RATES = (0.1, 0.3, 0.6)
@@ -47,37 +53,37 @@
 )
 
 
-class Way(Enum):
-    """How a fleet learns what is wrong; the values stand in tables and results."""
+class FaultDetection(Enum):
+    """How fronts detect faults; the values are printed in the table."""
 
-    TOGETHER = "together"
+    COOPERATIVE = "together"
     ALONE = "alone"
-    KNOWING = "knowing"  # told at once, as no fleet can be
+    ORACLE = "knowing"  # the discovery service reports the fault at once, which no real fleet can achieve
 
 
 class FleetRun:
-    """One fleet of processes through the script of faults, a flood and deaths.
+    """One fleet of processes under a script: a fault, a flood of requests, and the loss of half the fronts.
 
     Args:
-        seed: Draws load and faults.
-        way: How the fleet learns what is wrong.
+        seed: Seed of the load and the faults.
+        detection: How the fronts detect faults.
         count: Number of fronts.
     """
 
-    def __init__(self, seed: int, way: Way, count: int) -> None:
-        self._seed, self._way, self._count, self._folder = seed, way, count, new_folder()
+    def __init__(self, seed: int, detection: FaultDetection, count: int) -> None:
+        self._seed, self._detection, self._count, self._folder = seed, detection, count, new_folder()
         self.fault = FAULTS[int(hashed_fraction(seed, "trouble") * len(FAULTS))]
         self._fleet = FrontFleet(
             count,
             self._folder,
             100 + seed % 1000,
-            cooperating=way is Way.TOGETHER,
+            cooperating=detection is FaultDetection.COOPERATIVE,
             warm_up=WARM_UP,
             origin_capacity=CapacityModel(max(4, count), overload_ratio=2.5, overload_seconds=0.5),
         )
 
     def run(self) -> None:
-        """Run the script to its end."""
+        """Run the whole script, and close the fleet."""
         self._fleet.wait_until_ready()
         self.load = FleetLoad(self._fleet, self._seed, [RATE] * self._count)
         gevent.sleep(1.0)
@@ -104,7 +110,7 @@
             (FAULT_END, partial(self._set_fault, faulty, False)),
             (FLOOD, partial(self.load.set_rate_factor, FLOOD_FACTOR)),
             (FLOOD + FLOOD_SECONDS, partial(self.load.set_rate_factor, 1.0)),
-            (DEATH, self._kill_half),
+            (KILL, self._kill_half),
             (END, lambda: None),
         ]
 
@@ -118,7 +124,7 @@
                 cache.fails_all = active
         loss_rate = LOSS_RATES[int(hashed_fraction(self._seed, "lost") * len(LOSS_RATES))]
         self._fleet.datagram_proxy.loss_rate = loss_rate if active else 0.0
-        if self._way is Way.KNOWING:
+        if self._detection is FaultDetection.ORACLE:
             state = "leaving" if active else "active"
             self._fleet.for_each_discovery_service(lambda one: one.announce([(cache, "box")], state=state))
 
@@ -128,11 +134,11 @@
         self._fleet.kill(*fronts)
 
     def served(self, begin: float = 0.0, end: float = END) -> float:
-        """Return the share that was served in time, between two seconds of the script."""
+        """Return the served share between two seconds of the script, where a late request counts a fifth."""
         return self.load.results.weighted_share(self._began + begin, self._began + end)
 
     def recovery_seconds(self) -> float:
-        """Return the time from the end of the flood until nearly as much is served as at first."""
+        """Return the seconds from the end of the flood until 95 % of the earlier share is served again."""
         before = self.served(0, FAULT_BEGIN)
         for step in range(MAX_RECOVERY_STEPS):
             begin = FLOOD + FLOOD_SECONDS + step * RECOVERY_STEP
@@ -140,43 +146,43 @@
                 return step * RECOVERY_STEP
         return MAX_RECOVERY_STEPS * RECOVERY_STEP
 
-    def rules(self) -> Counter[str]:
-        """Count the rules that were broken."""
+    def violations(self) -> Counter[str]:
+        """Return the number of violations by rule."""
         return broken_rules(self._fleet, self.load.results, self._duplicates, self.faults_found)
 
     def print_row(self) -> None:
-        """Print what was served in each part of the script, and what went wrong."""
+        """Print the served shares of the parts of the script, the violations, and the first descriptions."""
         print(
-            f"{self._count:>6} {self._way.value:<9} {self.fault:<7} {self.served():.3f} "
+            f"{self._count:>6} {self._detection.value:<9} {self.fault:<7} {self.served():.3f} "
             f"{self.served(FAULT_BEGIN, FAULT_END):.3f} {self.served(FLOOD, FLOOD + FLOOD_SECONDS):.3f} "
-            f"after the deaths {self.served(DEATH + 1, END):.3f} {dict(self.rules())} "
+            f"after the deaths {self.served(KILL + 1, END):.3f} {dict(self.violations())} "
             f"{self.load.results.notes[:2]} {self.faults_found[:2]}"
         )
 
 
 def main() -> int:
-    """Run the benchmark; return the exit code."""
+    """Run the benchmark from the command line; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=11)
-    parser.add_argument("--quick", action="store_true", help="ends within 45 s")
+    parser.add_argument("--quick", action="store_true", help="a shorter run, which ends within 45 s")
     arguments = parser.parse_args()
     quick, seed = arguments.quick, arguments.seed
     simulated = simulate_sizes(seed, (10, 50, 100) if quick else (10, 50, 200, 1000))
     count = 4 if quick else 12
-    runs = {way: FleetRun(seed, way, count) for way in Way}
+    runs = {detection: FleetRun(seed, detection, count) for detection in FaultDetection}
     gevent.joinall([gevent.spawn(run.run) for run in runs.values()], raise_error=True)
     broken: Counter[str] = Counter()
     for run in runs.values():
         run.print_row()
-        broken += run.rules()
-    together, alone = runs[Way.TOGETHER], runs[Way.ALONE]
+        broken += run.violations()
+    together, alone = runs[FaultDetection.COOPERATIVE], runs[FaultDetection.ALONE]
     figures: dict[str, float] = {
         "fronts": 100 if quick else 1000,
         "processes": count,
         **{name: broken[name] + simulated.get(name, 0) for name in MUST_BE_ZERO},
         "served_share": together.served(),
         "served_share_alone": alone.served(),
-        "served_share_knowing": runs[Way.KNOWING].served(),
+        "served_share_knowing": runs[FaultDetection.ORACLE].served(),
         **{name: simulated[name] for name in SIMULATED},
         "back_to_95_s": together.recovery_seconds(),
         "back_to_95_s_alone": alone.recovery_seconds(),
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,4 +1,4 @@
-"""Processes of the program under a benchmark: their logs, counters, processor time and memory."""
+"""Processes of the program that a benchmark runs: their logs, counters, processor time and memory."""
 
 from __future__ import annotations
 
@@ -22,43 +22,43 @@
 KILLED = -9
 
 
-LogEvent = dict[str, Any]  # a line of a log: its event and fields
+LogEvent = dict[str, Any]  # one line of a log: the event name and its fields
 
 
 def now() -> float:
-    """Return monotonic seconds; the event loop's own time stands still while something runs."""
+    """Return monotonic seconds; the event loop's own time does not advance while a greenlet runs."""
     return time.monotonic()
 
 
 def processor_time_of(pid: int) -> float:
-    """Return the seconds of processor time that a process has used. Raises `OSError` once it is gone."""
+    """Return the seconds of processor time that a process has used. Raises `OSError` if it has ended."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
 
 def memory_of(pid: int) -> int:
-    """Return the resident bytes of a process. Raises `OSError` once it is gone."""
+    """Return the resident memory of a process in bytes. Raises `OSError` if it has ended."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 def new_folder() -> Path:
-    """Return a new folder for configurations and logs."""
+    """Create a temporary folder for configurations and logs, and return its path."""
     return Path(tempfile.mkdtemp(prefix="marbleglade-bench-"))
 
 
 class ProgramProcess:
-    """One process of the program, which can be restarted; each start has a log of its own.
+    """A process of the program that can be restarted; each start writes its own log file.
 
     Args:
-        name: Prefix of its logs.
-        arguments: What follows `marbleglade` on the command line.
-        folder: Where its logs are written.
-        clock: Clock of its region; right by default.
-        environ: Further variables of its environment.
+        name: Prefix of the names of its log files.
+        arguments: Command line arguments of the program.
+        folder: Folder of its log files.
+        clock: Clock of its region; without one, the clock has no error.
+        environ: Environment variables in addition to those of this process.
 
     Attributes:
-        arguments: What follows `marbleglade` on the command line.
-        command: What is run.
+        arguments: Command line arguments of the program.
+        command: The complete command of the process.
         running: The process of the latest start.
     """
 
@@ -80,7 +80,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start it."""
+        """Start the process with a new log file."""
         self._start_count += 1
         with (self.folder / f"{self.name}.{self._start_count}.log").open("wb") as log:
             self.running = subprocess.Popen(self.command, stderr=log, stdout=log, env=self._environ)
@@ -90,16 +90,16 @@
         return self.running.poll() is None
 
     def signal(self, number: int) -> None:
-        """Send it a signal."""
+        """Send the process a signal."""
         self.running.send_signal(number)
 
     def kill(self) -> None:
-        """Kill it, and wait for its end."""
+        """Kill the process, and wait until it has ended."""
         self.running.kill()
         self.running.wait()
 
     def stop(self) -> int:
-        """Ask it to shut down, and kill it if it does not; return its exit code."""
+        """Send SIGTERM, and kill the process if it runs on for 6 s; return its exit code."""
         with suppress(ProcessLookupError):
             self.signal(signal.SIGTERM)
         try:
@@ -109,19 +109,19 @@
             return KILLED
 
     def processor_time(self) -> float:
-        """Return the seconds of processor time so far."""
+        """Return the processor time of the latest start in seconds."""
         return processor_time_of(self.running.pid)
 
     def memory(self) -> int:
-        """Return the resident bytes."""
+        """Return the resident memory in bytes."""
         return memory_of(self.running.pid)
 
     def log_events(self) -> list[LogEvent]:
-        """Return what all its starts logged, without lines that a kill cut short."""
+        """Return the events that all starts logged, except lines that a kill truncated."""
         return [event for path in self._logs() for event in _read_log(path)]
 
     def counters(self) -> Counter[str]:
-        """Return the sum of the last counters of each start; SIGUSR1 has them logged before a kill."""
+        """Return the sum of the last logged counters of all starts; SIGUSR1 makes the process log them."""
         total: Counter[str] = Counter()
         for path in self._logs():
             logged = [event["counts"] for event in _read_log(path) if event.get("event") == "counters"]
@@ -133,10 +133,10 @@
 
 
 class UnwrappedProcess(ProgramProcess):
-    """A process of the program without the wrapper that shifts its clock, for figures of processor time."""
+    """A process of the program without the clock-shifting wrapper, for measurements of processor time."""
 
     def start(self) -> None:
-        """Start it."""
+        """Start the process without the wrapper."""
         self.command = [sys.executable, "-O", "-m", "marbleglade", *self.arguments]
         super().start()
 
--- a/benchmarks/purge_cost.py
+++ b/benchmarks/purge_cost.py
@@ -1,8 +1,8 @@
-"""What one purge costs a front, by the size of its directory, local cache, open requests and purge history.
+"""Cost of one purge for a front, by the size of its directory, local cache, open requests and purge history.
 
-One process without sockets. Each figure is the mean over purges of absent objects, so that nothing shrinks
-meanwhile, and the least of several rounds. Run it as `python -O -m benchmarks.purge_cost`; its last line is
-one JSON object with microseconds by size.
+Runs in one process without sockets. Each figure is the least mean of several rounds. The purged objects are
+absent, so that nothing shrinks during the measurement. Run it as `python -O -m benchmarks.purge_cost`; its
+last line is one JSON object with microseconds by size.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 from marbleglade.state.upstream_registry import UpstreamRegistry
 from marbleglade.testing.front_settings import front_settings
 
-GROUPS = 250  # over which all objects are spread evenly
-ABSENT = 1 << 40  # from this object on, none is in the front
+GROUPS = 250  # number of groups; objects are spread evenly over them
+ABSENT = 1 << 40  # no object with this or a higher id is in the front
 ABSENT_GROUP = 100_000
 SECOND = 1_000_000_000
 ROUNDS = 5
@@ -44,12 +44,12 @@
 
 
 class PurgedFront:
-    """The parts of a front that a purge concerns.
+    """The parts of a front that handle purges.
 
     Args:
-        directory_entries: Objects in the directory.
-        cached_objects: Objects in the local cache.
-        open_requests: Requests that are open with a cached response.
+        directory_entries: Number of objects in the directory.
+        cached_objects: Number of objects in the local cache.
+        open_requests: Number of open requests, each with a cached response.
     """
 
     def __init__(self, directory_entries: int, cached_objects: int, open_requests: int) -> None:
@@ -81,7 +81,7 @@
         return self.policy
 
     def purge(self, object_id: int, group: int) -> None:
-        """Apply one purge as the discovery service sends it."""
+        """Apply a purge event of the discovery service."""
         self.handler.events.apply(Purge(1, object_id, group, clock.to_unix_ms(self.now)))
 
     def _fill_directory(self, entries: int) -> None:
@@ -110,15 +110,15 @@
 def purge_full_front(
     directory_entries: int, cached_objects: int, open_requests: int, group: bool, calls: int
 ) -> float:
-    """Return the time of one purge of an object, or of a group, by the complete front."""
+    """Return the time (us) of one purge of an object or, if `group`, of a group by all parts of a front."""
     front = PurgedFront(directory_entries, cached_objects, open_requests)
     if group:
         return microseconds(lambda number: front.purge(0, ABSENT_GROUP + number % 8), calls)
     return microseconds(lambda number: front.purge(ABSENT + number % 8, 0), calls)
 
 
-def unknown_group(recent_purges: int, calls: int) -> float:
-    """Return the time of one lookup of the purges that may concern an object of unknown group."""
+def look_up_unknown_group(recent_purges: int, calls: int) -> float:
+    """Return the time (us) to look up the latest purge that may concern an object of unknown group."""
     purges = PurgeHistory(recent_purges)
     for number in range(recent_purges * 2):
         purges.add(number + 1, 0, number, number)
@@ -126,7 +126,7 @@
 
 
 def record_purge(recent_purges: int, calls: int) -> float:
-    """Return the time of recording one purge where so many are retained and one expires with each."""
+    """Return the time (us) to record a purge while `recent_purges` are retained and one expires each time."""
     purges, moment = PurgeHistory(recent_purges), recent_purges * 2
     for number in range(recent_purges * 2):
         purges.add(number + 1, 0, number, number)
@@ -138,30 +138,32 @@
 
 
 def measure(calls: int) -> dict[str, dict[str, float]]:
-    """Return all figures (us) by what grows, and by its size."""
-    found: dict[str, dict[str, float]] = {}
+    """Return all figures (us) by name and by size of the part that grows."""
+    results: dict[str, dict[str, float]] = {}
     for kind, group in (("object", False), ("group", True)):
-        found[f"{kind}_by_directory"] = {
+        results[f"{kind}_by_directory"] = {
             str(n): purge_full_front(n, 0, 0, group, calls) for n in DIRECTORY_SIZES
         }
-        found[f"{kind}_by_copies"] = {str(n): purge_full_front(0, n, 0, group, calls) for n in CACHED_COUNTS}
-        found[f"{kind}_by_open"] = {
+        results[f"{kind}_by_copies"] = {
+            str(n): purge_full_front(0, n, 0, group, calls) for n in CACHED_COUNTS
+        }
+        results[f"{kind}_by_open"] = {
             str(n): purge_full_front(0, 0, n, group, calls) for n in OPEN_REQUEST_COUNTS
         }
-        found[f"{kind}_in_full_use"] = {"1": purge_full_front(*FULL_SIZES, group, calls)}
-    found["told_by_told"] = {str(n): record_purge(n, calls) for n in PURGE_COUNTS}
-    found["unknown_group_by_told"] = {str(n): unknown_group(n, calls) for n in PURGE_COUNTS}
-    return found
+        results[f"{kind}_in_full_use"] = {"1": purge_full_front(*FULL_SIZES, group, calls)}
+    results["told_by_told"] = {str(n): record_purge(n, calls) for n in PURGE_COUNTS}
+    results["unknown_group_by_told"] = {str(n): look_up_unknown_group(n, calls) for n in PURGE_COUNTS}
+    return results
 
 
 def main() -> None:
-    """Print a table, then one JSON object."""
-    parser = argparse.ArgumentParser(description="What one purge costs a front, in microseconds.")
-    parser.add_argument("--calls", type=int, default=200, help="purges a round (default 200)")
-    found = measure(max(1, parser.parse_args().calls))
-    for name, figures in found.items():
+    """Run the benchmark from the command line: print a table, then one JSON object."""
+    parser = argparse.ArgumentParser(description="Cost of one purge for a front, in microseconds.")
+    parser.add_argument("--calls", type=int, default=200, help="purges per round (default 200)")
+    results = measure(max(1, parser.parse_args().calls))
+    for name, figures in results.items():
         print(f"{name:24}", "  ".join(f"{size}: {cost} us" for size, cost in figures.items()))
-    print(json.dumps(found))
+    print(json.dumps(results))
 
 
 if __name__ == "__main__":
--- a/benchmarks/purge_expectations.py
+++ b/benchmarks/purge_expectations.py
@@ -1,4 +1,4 @@
-"""Which versions of objects may still be served, by when purges are to have taken effect."""
+"""Checks that no version of an object is served after the purge of that version must be in effect."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
     Attributes:
         object_id: The object, or 0.
-        group: The group.
-        is_west: The group's region; objects tell their own.
-        purged_at: When it was published, in monotonic seconds.
-        effective_at: By target, from when on nothing older may be served there; absent: not bound.
+        group: The group, if `object_id` is 0.
+        is_west: Whether the group belongs to the west; the region of an object follows from its top bit.
+        purged_at: Time of publication in monotonic seconds.
+        effective_at: By target, the monotonic seconds from which nothing older may be served; a target that
+            is absent has no deadline.
     """
 
     object_id: int
@@ -29,14 +30,14 @@
     effective_at: dict[str, float]
 
     def matches(self, object_id: int) -> bool:
-        """Return whether this purges the object."""
+        """Return whether this purge concerns the object."""
         if self.object_id:
             return self.object_id == object_id
         return self.group == group_of(object_id) and self.is_west == bool(object_id >> 63)
 
 
 class PurgeExpectations:
-    """All purges of a run, in their order."""
+    """All purges of a run, in the order of their publication."""
 
     def __init__(self) -> None:
         self.purges: list[ExpectedPurge] = []
@@ -44,16 +45,16 @@
     def add(
         self, object_id: int, group: int, is_west: bool, purged_at: float, effective_at: dict[str, float]
     ) -> None:
-        """Add a purge; see `ExpectedPurge`."""
+        """Add a purge; for the arguments see `ExpectedPurge`."""
         self.purges.append(ExpectedPurge(object_id, group, is_west, purged_at, effective_at))
 
     def _effective_times(self, object_id: int, target: str) -> list[float]:
         return [purge.effective_at.get(target, NEVER) for purge in self.purges if purge.matches(object_id)]
 
     def check(self, results: RequestResults) -> None:
-        """Count what was served of versions that were too old, once all times are known."""
+        """Count served versions that were too old; call it once the deadlines of all purges are known."""
         for sent_at, target, object_id, version in results.served_versions:
-            times = self._effective_times(object_id, target)  # of the purges of version 1, 2, ...
+            times = self._effective_times(object_id, target)  # at index i: the purge of version i + 1
             required = max((index + 2 for index, at in enumerate(times) if at < sent_at), default=1)
             if version < required:
                 results.stale += 1
@@ -61,6 +62,6 @@
                     f"stale at {target}: {object_id:016x}, {version} of {required}, "
                     f"{sent_at - times[version - 1]:.2f} s past, asked for at {sent_at:.2f}"
                 )
-            for effective_at in times[version - 1 :]:  # of the purges after which this was still served
+            for effective_at in times[version - 1 :]:  # the purges that should have removed this version
                 if effective_at < NEVER:
                     results.worst_staleness_s = max(results.worst_staleness_s, sent_at - effective_at)
--- a/benchmarks/request_results.py
+++ b/benchmarks/request_results.py
@@ -1,4 +1,4 @@
-"""What became of the requests of a benchmark."""
+"""Results of the requests of a benchmark."""
 
 from __future__ import annotations
 
@@ -6,23 +6,24 @@
 from typing import NamedTuple
 
 MAX_NOTES = 20
-LATE_WEIGHT = 0.2  # of a request that was served after its latency objective
+LATE_WEIGHT = 0.2  # weight of a request that was served after its latency objective; 1 if in time
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request, with its client's retries.
+    """One request of a client, including its retries.
 
     Attributes:
-        sent_at: Monotonic seconds.
+        sent_at: Time of the first attempt in monotonic seconds.
         target: Name of the front or gateway.
         is_local: The object belongs to the client's own region.
-        status: Of the last response; "": none; "lost": the connection ended first; "closed": no connection.
-        latency_s: Of the last attempt.
+        status: Status of the last response; "" if there was none, "lost" if the connection ended before it,
+            "closed" if no connection could be opened.
+        latency_s: Latency of the last attempt in seconds.
         attempts: Number of attempts.
-        served: The object came, in time or late.
-        late: After its latency objective, which counts from the first attempt.
-        excused: The target was killed or is shutting down.
+        served: Whether the correct object was received, in time or late.
+        late: Whether it was served after its latency objective, which counts from the first attempt.
+        excused: Whether the target was down or shutting down; such a request does not count.
     """
 
     sent_at: float
@@ -37,7 +38,7 @@
 
 
 class ServedVersion(NamedTuple):
-    """A version of an object that was served: to what was sent when and where."""
+    """A served version of an object, with the time (monotonic seconds) and the target of the attempt."""
 
     sent_at: float
     target: str
@@ -47,18 +48,18 @@
 
 @dataclass(slots=True)
 class RequestResults:
-    """All requests of some streams, and the rules that were broken.
+    """All requests of some streams, and their violations of the rules of a benchmark.
 
     Attributes:
-        records: The requests, in the order in which they were sent.
-        lost: Attempts without a response in time.
-        duplicates: Responses beyond one for each attempt, and malformed ones.
-        stale: Served versions that were too old.
-        corrupted: Bodies with wrong bytes.
-        worst_staleness_s: Longest time from when a purge had to be in effect to a request that was served an
-            older version.
-        notes: Where, for the first broken rules.
-        served_versions: All versions that were served.
+        records: The requests in sending order.
+        lost: Number of attempts without a response in time.
+        duplicates: Number of malformed responses, and of responses beyond the first of an attempt.
+        stale: Number of served versions that were too old.
+        corrupted: Number of bodies with wrong bytes.
+        worst_staleness_s: Longest time from the deadline of a purge to an attempt that was nevertheless
+            served an older version.
+        notes: Descriptions of the first violations, at most `MAX_NOTES`.
+        served_versions: All served versions, for the check of purges.
     """
 
     records: list[RequestRecord] = field(default_factory=list)
@@ -71,7 +72,7 @@
     served_versions: list[ServedVersion] = field(default_factory=list)
 
     def add_note(self, text: str) -> None:
-        """Note a broken rule, if there are few yet."""
+        """Add the description of a violation, up to `MAX_NOTES` of them."""
         if len(self.notes) < MAX_NOTES:
             self.notes.append(text)
 
@@ -79,7 +80,7 @@
         return [one for one in self.records if start <= one.sent_at < end and not one.excused]
 
     def weighted_share(self, start: float, end: float) -> float:
-        """Return the share that was served, where late ones count a fifth; 1 of nothing."""
+        """Return the share of served requests, where a late one counts a fifth; 1 without requests."""
         records = self._between(start, end)
         weights = [(LATE_WEIGHT if one.late else 1.0) if one.served else 0.0 for one in records]
         return sum(weights) / len(weights) if weights else 1.0
@@ -87,13 +88,13 @@
     def served_share(
         self, start: float, end: float, is_local: bool | None = None, max_attempts: int = 9
     ) -> float:
-        """Return the share that was served within so many attempts; 1 of nothing.
+        """Return the share of requests that were served within `max_attempts`; 1 without requests.
 
         Args:
-            start: Monotonic seconds.
-            end: Monotonic seconds.
-            is_local: Only requests of this kind; None: all.
-            max_attempts: Attempts within which a request counts as served.
+            start: Earliest time of the first attempt, in monotonic seconds.
+            end: Time before which the first attempt was sent, in monotonic seconds.
+            is_local: Consider only requests with this `is_local`; None: all.
+            max_attempts: A request that took more attempts does not count as served.
         """
         records = [one for one in self._between(start, end) if is_local is None or one.is_local is is_local]
         served = [one.served and one.attempts <= max_attempts for one in records]
--- a/benchmarks/request_stream.py
+++ b/benchmarks/request_stream.py
@@ -15,22 +15,22 @@
 from .request_results import RequestRecord, RequestResults, ServedVersion
 
 MAX_CLIENTS = 6
-MAX_RETRIES = 3  # of a client that is rejected
-MAX_RETRIED_LATENCY_S = 1.0  # of a retry, after which the client gives up
+MAX_RETRIES = 3  # retries of a request that is rejected
+MAX_RETRIED_LATENCY_S = 1.0  # a retry that took longer than this is the last
 MIN_RETRY_AFTER_S, RETRY_JITTER_S, DEFAULT_RETRY_AFTER_MS = 0.1, 0.1, 100
-OWN_LATENESS_S = 0.35  # by which a response may be late for the benchmark's own sake
-MAX_CATCH_UP_S = 0.2  # of what the benchmark was late by itself
-BODY_BYTES_PER_S = 2e6  # at which a body is meant to be transferred
+OWN_LATENESS_S = 0.35  # tolerated lateness of a response, because the benchmark itself may stall
+MAX_CATCH_UP_S = 0.2  # after a stall of the benchmark, requests due longer ago are not made up for
+BODY_BYTES_PER_S = 2e6  # expected transfer rate of a body
 VIDEO_CLASS, PAGE_CLASS = "dish-media", "menu-pages"
 TIMEOUT_MS = {VIDEO_CLASS: 2500, PAGE_CLASS: 1500}
 LATENCY_OBJECTIVE_S = {VIDEO_CLASS: 0.6, PAGE_CLASS: 0.3}
-OBJECTIVE_STRETCH = 2  # times the transfer, which the objective allows beside
+TRANSFER_TIME_FACTOR = 2  # the latency objective is extended by this many times the expected transfer
 FINISH_TIMEOUT_S = 5
 
-Availability = Callable[[float, float], bool]  # whether a target was up all through a time
+Availability = Callable[[float, float], bool]  # (start, end) -> whether the target was up throughout
 PickObject = Callable[
     [int], tuple[int, bool]
-]  # by number of the request: the object, and whether it is local
+]  # number of the request -> its object, and whether that is local
 
 
 def class_of(object_id: int) -> str:
@@ -39,15 +39,15 @@
 
 
 class ClientPool:
-    """Several connections to one front or gateway, opened anew as they end.
+    """Several connections to one front or gateway; closed connections are replaced.
 
     Args:
-        name: The target's name.
-        region: The target's region.
-        address: Where it listens.
-        seed: Seed of the clients.
-        was_available: Tells whether the target was up all through a time.
-        max_clients: Number of connections.
+        name: Name of the target.
+        region: Region of the target.
+        address: Address on which the target listens.
+        seed: Base of the seeds of the clients.
+        was_available: Returns whether the target was up from a start to an end time.
+        max_clients: Maximum number of connections.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self._errors_of_closed = 0
 
     def next_client(self) -> Client | None:
-        """Return the next connection in turn; None: it could not be opened."""
+        """Return the next connection in rotation, or None if a new one could not be opened."""
         for client in [client for client in self.clients if client.closed]:
             self.clients.remove(client)
             self._errors_of_closed += _protocol_errors(client)
@@ -81,7 +81,7 @@
         return self.clients[0]
 
     def protocol_errors(self) -> int:
-        """Return the number of duplicate and malformed responses."""
+        """Return the number of duplicate and malformed responses on all connections, closed ones included."""
         return self._errors_of_closed + sum(map(_protocol_errors, self.clients))
 
     def close(self) -> None:
@@ -95,18 +95,18 @@
 
 
 class RequestStream:
-    """Requests at a steady rate, drawn from the seed.
+    """Requests at a mean rate, with exponentially distributed gaps drawn from the seed.
 
     Args:
-        pool: Where they are sent.
-        results: Where they are counted.
-        seed: Seed of their times.
+        pool: Connections to the target of the requests.
+        results: Receives the records of the requests and the violations.
+        seed: Seed of the sending times and the retry jitter.
         rate: Requests per second.
-        pick: Chooses the object of each.
+        pick: Chooses the object of a request by its number.
 
     Attributes:
-        running: Further requests are sent.
-        rate_factor: By which the rate is raised.
+        running: Whether further requests and retries are sent.
+        rate_factor: Factor on the rate.
     """
 
     def __init__(
@@ -120,7 +120,7 @@
         self._in_flight: set[gevent.Greenlet] = set()
 
     def run(self) -> None:
-        """Send requests until the stream is finished."""
+        """Send requests until `finish` is called."""
         due_at = now()
         while self.running:
             self._number += 1
@@ -131,28 +131,28 @@
             self.start_request(*self._pick(self._number))
 
     def start_request(self, object_id: int, is_local: bool) -> None:
-        """Send a request, and do not wait for its response."""
+        """Send a request in a new greenlet, without waiting for its response."""
         greenlet = gevent.spawn(self.request, object_id, is_local)
         self._in_flight.add(greenlet)
         greenlet.link(self._in_flight.discard)
 
     def request(self, object_id: int, is_local: bool) -> RequestRecord:
-        """Send a request, with retries as long as it is rejected."""
+        """Send a request, retry it while it is rejected, and return its record."""
         record = RequestRecord(now(), self.pool.name, is_local)
         self.results.records.append(record)
         for number in range(1 + MAX_RETRIES):
             began = now()
             record.attempts = number + 1
             retry_after = self._attempt(record, object_id)
-            gives_up = number and now() - began > MAX_RETRIED_LATENCY_S
-            if retry_after is None or gives_up or not self.running:
+            is_too_slow = number and now() - began > MAX_RETRIED_LATENCY_S
+            if retry_after is None or is_too_slow or not self.running:
                 break
             jitter = RETRY_JITTER_S * hashed_fraction(self._seed, "wait", self._number, number)
             gevent.sleep(max(retry_after, MIN_RETRY_AFTER_S) + jitter)
         return record
 
     def _attempt(self, record: RequestRecord, object_id: int) -> float | None:
-        """Return the seconds until the next attempt; None: there is none."""
+        """Send one attempt; return the seconds until a retry, or None if no retry follows."""
         began, client = now(), self.pool.next_client()
         if client is None:
             record.status = "closed"
@@ -189,11 +189,11 @@
             return
         record.served = True
         transfer_time = len(body) / BODY_BYTES_PER_S
-        objective = LATENCY_OBJECTIVE_S[class_of(object_id)] + OBJECTIVE_STRETCH * transfer_time
+        objective = LATENCY_OBJECTIVE_S[class_of(object_id)] + TRANSFER_TIME_FACTOR * transfer_time
         record.late = now() - record.sent_at > objective
         self.results.served_versions.append(ServedVersion(sent_at, record.target, object_id, version))
 
     def finish(self) -> None:
-        """Send nothing more, and wait for what is in flight."""
+        """Stop sending, and wait at most `FINISH_TIMEOUT_S` for requests in flight."""
         self.running = False
         gevent.joinall(list(self._in_flight), timeout=FINISH_TIMEOUT_S)
--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -1,6 +1,8 @@
-"""Eviction policies on random traces: bytes saved by the disk cache's policy, LRU, FIFO and Belady by size.
+"""Byte hit ratios of eviction policies on random traces: the disk cache's policy, LRU, FIFO, sized Belady.
 
-Belady knows the future. No disk is touched. Exit code 1: the policy saves less than LRU or FIFO on a trace.
+Sized Belady evicts by the distance of the next use times the size, so it needs the future of the trace. No
+disk is accessed. Exit code 1 means that the disk cache's policy saves fewer bytes than LRU or FIFO on some
+trace.
 """
 
 from __future__ import annotations
@@ -17,7 +19,7 @@
 from marbleglade.disk.eviction import EvictionPolicy, RecordLocation
 
 KINDS = ("zipf", "scan", "large", "shift")
-CAPACITY_SHARES = (0.1, 0.25)  # of the bytes of all objects
+CAPACITY_SHARES = (0.1, 0.25)  # cache capacity as a share of the bytes of all used parts
 USES, QUICK_USES = 60_000, 20_000
 ZIPF_EXPONENT = 0.9
 MIN_BYTES, BYTES_RANGE = 4000, 8000
@@ -25,7 +27,7 @@
 
 
 class Use(NamedTuple):
-    """One use of a part of an object: its key in the disk cache, its bytes and its number."""
+    """One use of a part of an object: key in the disk cache, size in bytes, and number of the part."""
 
     key: int
     size: int
@@ -33,27 +35,27 @@
 
 
 def trace(kind: str, seed: int, count: int) -> list[Use]:
-    """Return uses with Zipf popularity.
+    """Return a trace of uses with Zipf popularity.
 
     Args:
-        kind: "zipf"; "scan": with objects that are used once in between; "large": with objects of 5 to 29
-            times the usual size; "shift": the popularity shifts.
-        seed: Seed of all draws.
+        kind: "zipf" without additions; "scan": a quarter of the time, only objects that are used once;
+            "large": some objects have 5 to 29 times the usual size; "shift": the popularity shifts.
+        seed: Seed of all random choices.
         count: Number of uses.
     """
-    draws = random.Random(f"{seed} {kind}")
+    rng = random.Random(f"{seed} {kind}")
     objects = max(200, count // 30)
     weights = [1 / (rank + 1) ** ZIPF_EXPONENT for rank in range(objects)]
-    ranks = draws.choices(range(objects), weights, k=count)
-    uses, last_new = [], objects
+    ranks = rng.choices(range(objects), weights, k=count)
+    uses, last_scanned = [], objects
     for number, rank in enumerate(ranks):
         object_id = rank
         if kind == "shift":
             object_id = (rank + number * objects // (4 * count) * 8) % objects
         if kind == "scan" and (number // 500) % 4 == 3:
-            last_new += 1
-            object_id = last_new
-        part = 0 if kind == "large" else min(MAX_PART, int(draws.expovariate(0.2)))
+            last_scanned += 1
+            object_id = last_scanned
+        part = 0 if kind == "large" else min(MAX_PART, int(rng.expovariate(0.2)))
         size = MIN_BYTES + (object_id * 2654435761 % BYTES_RANGE)
         if kind == "large" and object_id % 8 == 1:
             size *= 5 + object_id % 25
@@ -97,9 +99,9 @@
 
 
 def saved_by_belady(uses: list[Use], capacity: int) -> int:
-    """Return the bytes of hits when the part goes whose next use, times its bytes, is the farthest."""
+    """Return the bytes of hits when the part with the largest (uses until its next use) * size is evicted."""
     next_uses = _next_uses(uses)
-    cached: dict[int, tuple[int, int]] = {}  # size and next use
+    cached: dict[int, tuple[int, int]] = {}  # size in bytes, index of the next use
     heap: list[tuple[float, int, int]] = []
     used = saved = 0
     for number, (key, size, _) in enumerate(uses):
@@ -119,7 +121,7 @@
 
 
 def _next_uses(uses: list[Use]) -> list[int]:
-    """Return for each use the number of the next one of the same part."""
+    """Return for each use the index of the next use of the same part."""
     next_uses, seen = [0] * len(uses), dict[int, int]()
     for number in range(len(uses) - 1, -1, -1):
         key = uses[number].key
@@ -129,7 +131,7 @@
 
 
 def measure(kind: str, seed: int, count: int, capacity_share: float) -> dict[str, float]:
-    """Return by policy the bytes of hits over all bytes that were used."""
+    """Return the byte hit ratio of each policy on one trace."""
     uses = trace(kind, seed, count)
     total = sum(use.size for use in uses)
     capacity = int(sum({use.key: use.size for use in uses}.values()) * capacity_share)
@@ -143,14 +145,14 @@
 
 
 def main() -> int:
-    """Run the benchmark; return the exit code."""
+    """Run the benchmark from the command line; return the exit code."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.traces", description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--quick", action="store_true")
     arguments = parser.parse_args()
     count = QUICK_USES if arguments.quick else USES
     rows: list[dict[str, object]] = []
-    worse = []
+    worse_traces = []
     print(f"{'trace':8}{'room':>6}{'policy':>11}{'lru':>11}{'admit all':>11}{'belady':>11}{'of belady':>11}")
     for kind in KINDS:
         for share in CAPACITY_SHARES:
@@ -160,11 +162,11 @@
             cells = "".join(f"{value:11.3f}" for value in row.values())
             print(f"{kind:8}{share:6.2f}{cells}{of_belady:11.3f}")
             if row["policy"] < max(row["lru"], row["admit all"]):
-                worse.append(f"{kind} {share}")
-    if worse:
-        print(f"behind a baseline: {', '.join(worse)}")
+                worse_traces.append(f"{kind} {share}")
+    if worse_traces:
+        print(f"policy saves less than LRU or FIFO: {', '.join(worse_traces)}")
     print(json.dumps({"seed": arguments.seed, "rows": rows}))
-    return int(bool(worse))
+    return int(bool(worse_traces))
 
 
 if __name__ == "__main__":
