--- a/tests/benchmarks/test_region_checkers.py
+++ b/tests/benchmarks/test_region_checkers.py
@@ -1,4 +1,4 @@
-"""The checker of responses in the benchmark of two regions finds each fault that it looks for."""
+"""Response checks of the benchmark of two regions: each kind of wrong response is counted once."""
 
 import gevent
 import pytest
@@ -11,12 +11,12 @@
 
 
 class ScriptedFront:
-    """Sends a script of statuses and bodies in response to each request."""
+    """Answers each request with all of the given pairs of status and body."""
 
     def __init__(self, responses):
         self.listener = listening_socket()
         self.responses = responses
-        self.accepting = gevent.spawn(self.accept)
+        self.accept_greenlet = gevent.spawn(self.accept)
 
     def accept(self):
         while True:
@@ -33,7 +33,7 @@
                 )
 
     def close(self):
-        self.accepting.kill()
+        self.accept_greenlet.kill()
         self.listener.close()
 
 
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    "responses, found",
+    "responses, expected_counts",
     [
         ([(b"ok", BODY)], {}),
         ([(b"ok", BODY)] * 2, {"duplicates": 1}),
@@ -55,14 +55,14 @@
     ],
 )
 @pytest.mark.parametrize("purged", [False, True])
-def test_the_checker_finds_duplicate_corrupt_lost_and_purged_responses(responses, found, purged):
+def test_duplicate_corrupted_lost_and_stale_responses_are_counted(responses, expected_counts, purged):
     front = ScriptedFront(responses)
     pool = ClientPool("d", "east", front.listener.getsockname(), 1, lambda _start, _end: True)
     results = RequestResults()
     purges = PurgeExpectations()
     if purged:
         purges.add(0, group_of(OBJECT_ID), True, -9.0, {"d": -5.0})
-        purges.add(0, group_of(OBJECT_ID), True, -9.0, {"d": float("inf")})  # does not bind this listener
+        purges.add(0, group_of(OBJECT_ID), True, -9.0, {"d": float("inf")})  # no deadline at this target
     stream = RequestStream(pool, results, 1, 1.0, None)
     stream.running = False
     record = stream.request(OBJECT_ID, False)
@@ -75,6 +75,6 @@
         "corrupted": results.corrupted,
         "stale": results.stale,
     }
-    assert counts == {"lost": 0, "duplicates": 0, "corrupted": 0, "stale": int(stale)} | found
+    assert counts == {"lost": 0, "duplicates": 0, "corrupted": 0, "stale": int(stale)} | expected_counts
     pool.close()
     front.close()
