--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -204,11 +204,11 @@
                 queue += [(effect.recipient, answer) for answer in answers]
         return messages, size
 
-    def proposed_version(self) -> tuple[int, int]:
+    def count_proposal(self) -> tuple[int, int]:
         """Return the messages and bytes until a proposal is chosen and all replicas have learned it."""
         return self.deliver(self.leader.name, self.leader.propose(1, 0, "p", document_text(0)))
 
-    def second_of_heartbeats(self) -> tuple[int, int]:
+    def count_heartbeats(self) -> tuple[int, int]:
         """Return the messages and bytes of the heartbeats in one second."""
         totals = [0, 0]
         for _ in range(1_000_000_000 // HEARTBEAT_INTERVAL_NS):
@@ -239,7 +239,7 @@
         result[f"in_force_ms_{count}"] = summary(applied)
     for count in QUORUM_SIZES:
         quorum = CountedQuorum(count)
-        version, second = quorum.proposed_version(), quorum.second_of_heartbeats()
+        version, second = quorum.count_proposal(), quorum.count_heartbeats()
         result[f"messages_{count}"] = {
             "a_version": version[0],
             "bytes_a_version": version[1],
--- a/benchmarks/control_front.py
+++ b/benchmarks/control_front.py
@@ -123,10 +123,10 @@
     began, count = time.monotonic(), 0
     while time.monotonic() - began < seconds:
         count += 1
-        moment = time.time_ns() // 1_000_000
-        nodes[count % 2].purge(count, 0, moment)
+        unix_ms = time.time_ns() // 1_000_000
+        nodes[count % 2].purge(count, 0, unix_ms)
         gevent.sleep(SECOND_NODE_LAG_S)
-        nodes[1 - count % 2].purge(count, 0, moment)
+        nodes[1 - count % 2].purge(count, 0, unix_ms)
         gevent.sleep(max(0.0, began + count / per_second - time.monotonic()))
     return count
 
@@ -138,9 +138,7 @@
     for node in nodes:
         node.announce(endpoint_list(), full_list=True)
     control = write_settings(path, nodes, discovery_service)
-    discovery_service.event_lines.append(
-        b""
-    )  # occupies index 1, which the first lists in the fronts' files have
+    discovery_service.event_lines.append(b"")  # occupies index 1, that of the list in the fronts' files
     fronts = [
         start_front(path, "off", discovery_service, ""),
         start_front(path, "on", discovery_service, control),
--- a/benchmarks/control_node.py
+++ b/benchmarks/control_node.py
@@ -166,9 +166,9 @@
     began = time.monotonic()
     while (elapsed := time.monotonic() - began) < seconds:
         if elapsed * PURGES_PER_S > len(published):
-            moment = time.time_ns() // 1_000_000
-            published[moment] = time.time()
-            discovery.purge(moment, 0, moment)
+            unix_ms = time.time_ns() // 1_000_000
+            published[unix_ms] = time.time()
+            discovery.purge(unix_ms, 0, unix_ms)
         gevent.sleep(0.002)
     return published
 
@@ -186,7 +186,7 @@
     gevent.sleep(1.0)
     after = stand_in.report()
     arrivals = dict(after.arrivals)
-    delays_ms = [1000 * (arrivals[moment] - at) for moment, at in published.items()]
+    delays_ms = [1000 * (arrivals[unix_ms] - at) for unix_ms, at in published.items()]
     received = _rates(before.bytes_in, after.bytes_in, duration + 1)
     sent = _rates(before.bytes_out, after.bytes_out, duration + 1)
     return DistributionFigures(
--- a/benchmarks/control_watchers.py
+++ b/benchmarks/control_watchers.py
@@ -29,7 +29,7 @@
 
 
 class Watcher:
-    """Behaves to a node like a front: acknowledges its last applied event at most every 100 ms.
+    """One watcher, which behaves like a front: it acknowledges applied events at most every 100 ms.
 
     Args:
         address: Address of the node or discovery service.
@@ -65,10 +65,10 @@
             return
         self.last_index = value["index"]
         if "evict" in value:
-            moment = value["evict"]["unix_ms"]
+            unix_ms = value["evict"]["unix_ms"]
             now = time.time()
-            if now > self.arrivals.get(moment, 0.0):
-                self.arrivals[moment] = now
+            if now > self.arrivals.get(unix_ms, 0.0):
+                self.arrivals[unix_ms] = now
 
     def _acknowledge(self) -> None:
         self._acknowledgement_scheduled, self.acknowledged_index = False, self.last_index
--- a/benchmarks/fleet_load.py
+++ b/benchmarks/fleet_load.py
@@ -1,4 +1,4 @@
-"""Client load on every front of a fleet, and the rules that hold for every fleet."""
+"""Client load on every front of a fleet, and the rules that every fleet is checked for."""
 
 from __future__ import annotations
 
@@ -88,9 +88,8 @@
 
     def finish(self) -> int:
         """Stop the load on all fronts; return the number of duplicate and malformed responses."""
-        gevent.killall(
-            self._loops
-        )  # kill the loops first: a finished stream would send one more request after its wait
+        # Kills the loops first: a loop that is still waiting would send one more request after `finish`.
+        gevent.killall(self._loops)
         for stream in self.streams:
             stream.finish()
         errors = sum(stream.pool.protocol_errors() for stream in self.streams)
--- a/benchmarks/gateway/report.py
+++ b/benchmarks/gateway/report.py
@@ -68,11 +68,11 @@
         self._results = traffic.results
         self._crashed = [name for name, code in exit_codes.items() if code not in (0, -15)]
         self._counts = {
-            "gateway": self._count([region.gateways for region in world.regions.both]),
-            "no journal": self._count([one.gateways for one in world.without_journal.values()]),
+            "gateway": self._sum_counters([region.gateways for region in world.regions.both]),
+            "no journal": self._sum_counters([one.gateways for one in world.without_journal.values()]),
         }
 
-    def _count(self, gateways: list[list[str]]) -> Counts:
+    def _sum_counters(self, gateways: list[list[str]]) -> Counts:
         processes = self._world.processes
         return sum((processes[name].counters() for names in gateways for name in names), Counter())
 
@@ -140,12 +140,12 @@
         That is when 95 % of the share before the cut is served at the first attempt. If that does not happen,
         return the length of the whole phase.
         """
-        usual = results.served_share(*self._phases.before_cut, is_local=False)
+        share_before_cut = results.served_share(*self._phases.before_cut, is_local=False)
         start, end = self._phases.after_cut
         for step in range(int((end - start) / RECOVERY_STEP_S)):
             at = start + step * RECOVERY_STEP_S
             share = results.served_share(at, at + RECOVERY_WINDOW_S, is_local=False, max_attempts=1)
-            if share >= RECOVERED_SHARE * usual:
+            if share >= RECOVERED_SHARE * share_before_cut:
                 return round(step * RECOVERY_STEP_S, 3)
         return round(end - start, 3)
 
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -109,7 +109,7 @@
             return KILLED
 
     def processor_time(self) -> float:
-        """Return the processor time of the latest start in seconds."""
+        """Return the seconds of processor time used since the latest start."""
         return processor_time_of(self.running.pid)
 
     def memory(self) -> int:
--- a/benchmarks/purge_expectations.py
+++ b/benchmarks/purge_expectations.py
@@ -59,8 +59,8 @@
             if version < required:
                 results.stale += 1
                 results.add_note(
-                    f"stale at {target}: {object_id:016x}, {version} of {required}, "
-                    f"{sent_at - times[version - 1]:.2f} s past, asked for at {sent_at:.2f}"
+                    f"stale response from {target}: object {object_id:016x}, version {version}, expected "
+                    f"at least {required}, {sent_at - times[version - 1]:.2f} s late, sent at {sent_at:.2f}"
                 )
             for effective_at in times[version - 1 :]:  # the purges that should have removed this version
                 if effective_at < NEVER:
--- a/benchmarks/request_stream.py
+++ b/benchmarks/request_stream.py
@@ -19,7 +19,7 @@
 MAX_RETRIED_LATENCY_S = 1.0  # a retry that took longer than this is the last
 MIN_RETRY_AFTER_S, RETRY_JITTER_S, DEFAULT_RETRY_AFTER_MS = 0.1, 0.1, 100
 OWN_LATENESS_S = 0.35  # tolerated lateness of a response, because the benchmark itself may stall
-MAX_CATCH_UP_S = 0.2  # after a stall of the benchmark, requests due longer ago are not made up for
+MAX_CATCH_UP_S = 0.2  # after a stall of the benchmark, requests that were due earlier are skipped
 BODY_BYTES_PER_S = 2e6  # expected transfer rate of a body
 VIDEO_CLASS, PAGE_CLASS = "dish-media", "menu-pages"
 TIMEOUT_MS = {VIDEO_CLASS: 2500, PAGE_CLASS: 1500}
@@ -166,11 +166,11 @@
             record.status = "lost" if response else ""
             record.excused = not self.pool.was_available(record.sent_at, now())
             if not record.excused:
-                self._note_loss(f"{record.status or 'no answer'} at {record.target} after", record)
+                self._note_loss(f"{record.status or 'no response'} at {record.target} after", record)
             return None
         record.status = response.status
         if record.latency_s > timeout_ms / 1000 + OWN_LATENESS_S:
-            self._note_loss(f"late at {record.target}:", record)
+            self._note_loss(f"late response from {record.target}:", record)
         if response.status == "ok":
             self._check_body(record, began, object_id, response.body)
         if response.status != "full":
@@ -185,7 +185,7 @@
         version = version_of(body, object_id, 0)
         if version is None:
             self.results.corrupted += 1
-            self.results.add_note(f"corrupted at {record.target}: {body[:40]!r}")
+            self.results.add_note(f"corrupted body from {record.target}: {body[:40]!r}")
             return
         record.served = True
         transfer_time = len(body) / BODY_BYTES_PER_S
