--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
-"""Fixtures that several folders of tests use, and the order in which tests run.
+"""Shared fixtures, and the order in which tests run.
 
-Tests whose outcome depends on real time run in a group, one after the other; groups run side by side.
+Tests whose outcome depends on real time are in groups. The tests of a group run one after the other, and
+different groups run in parallel.
 """
 
 from pathlib import Path
@@ -15,10 +16,10 @@
 from tests.harness.units import NS_PER_MS
 from tests.scripted_policy import ScriptedPolicy
 
-# Helpers beside the tests: their failed assertions show values, as those of test modules do.
+# Helper modules whose failed assertions show the compared values, as pytest does for test modules.
 pytest.register_assert_rewrite("tests.control", "tests.state", "tests.transport")
 
-# Modules without sockets and real time: each may run by itself, on a core of its own.
+# Modules that use neither sockets nor real time: each may run in parallel with any other.
 WITHOUT_REAL_TIME = {
     "benchmarks/test_capacity_page",
     "benchmarks/test_scale_checkers",
@@ -112,7 +113,8 @@
     "transport/test_event_sequence",
     "test_pages",
 }
-# Processes whose order of events stand-ins decide, with long time limits: a busy machine does no harm.
+# Tests of processes in which stand-in servers determine the order of events. Their time limits are long, so
+# that a busy machine does not make them fail.
 ORDERED_BY_STANDINS = {
     "control/configuration/test_processes",
     "control/configuration/test_proposal_processes",
@@ -139,7 +141,7 @@
 }
 
 
-# Fronts whose processes are stopped, and whose clocks step, within short time limits.
+# Tests with short time limits that stop the processes of fronts or step their clocks.
 FAULTY_FRONTS = {
     "benchmarks/test_fault_benchmark",
     "system/test_clock_steps",
@@ -149,14 +151,14 @@
     "system/test_time_limits",
 }
 
-# Fleets of processes under scripted faults, within short time limits.
+# Tests with short time limits of fleets of processes under scripted faults.
 FRONT_FLEETS = {
     "fleet/test_fleet_processes",
     "maintenance/test_maintenance_processes",
 }
 
 
-# The groups in the order in which they begin; modules in none of the lists have short time limits.
+# The groups in the order in which they start. Modules that are in none of the lists have short time limits.
 GROUPS = {
     "front fleets": FRONT_FLEETS,
     "short time limits": set(),
@@ -174,7 +176,7 @@
 
 
 def _module_name(path: Path) -> str:
-    """A test module as the lists above name it: its path below `tests`, without suffix."""
+    """The name of a test module in the lists above: its path below `tests`, without its suffix."""
     return str(path.relative_to(TESTS).with_suffix(""))
 
 
@@ -184,15 +186,16 @@
 
 
 def pytest_collection_modifyitems(items):
-    """The longest begin first, so that none of them is left over for one worker alone."""
+    """Starts the longest tests first, so that no worker still runs one of them after the others are done."""
     items.sort(key=_start_order)
 
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_xdist_make_scheduler(config, log):
-    """Gives each group to one worker; modules without real time go to any worker that is free.
+    """Assigns each group to one worker; modules without real time go to any worker that is free.
 
-    Groups of pytest-xdist 3.8 have no effect with pytest 9.2, which does not read what they add to an id.
+    The groups of pytest-xdist 3.8 have no effect with pytest 9.2: xdist appends the group to the test id, and
+    pytest does not read that suffix.
     """
     from xdist.scheduler import LoadScopeScheduling
 
@@ -214,7 +217,7 @@
 
 @pytest.fixture
 def front():
-    """A front in this process, with one listed cache."""
+    """A front in the test process, with one listed cache."""
     front = SingleCacheFront()
     front.apply_endpoints("s1")
     yield front
@@ -223,26 +226,26 @@
 
 @pytest.fixture
 def connection_gate(front):
-    """An event: connections of the front to caches come up once it is set."""
+    """An event: the front's connections to caches are established only after it is set."""
     return front.hold_connections()
 
 
 @pytest.fixture
 def configuration_changes():
-    """Entries that `program` has in place of the usual ones; a test module may define its own."""
+    """Configuration entries that replace the default ones of `program`; a test module may override this."""
     return {}
 
 
 @pytest.fixture
 def program(tmp_path, configuration_changes):
-    """A front as a process, which follows its discovery service."""
+    """A front that runs as a process and is connected to its discovery service."""
     with started_front(tmp_path, configuration_changes) as started:
         yield started
 
 
 @pytest.fixture
 def hosted_policy():
-    """Return a driver, its policy, and its clock: a list of one time, ns."""
+    """A policy driver, its policy, and its clock: a list with the current time in ns as its only element."""
     clock = [1000 * NS_PER_MS]
     driver = PolicyDriver(
         None, lambda _, driver: ScriptedPolicy(driver), lambda: clock[0], 0, Counters(), lambda _action: None
--- a/tests/harness/__init__.py
+++ b/tests/harness/__init__.py
@@ -1,1 +1,1 @@
-"""The harness of the tests: processes of the program, fronts in the test process, and their stand-ins."""
+"""Test harness: processes of the program, fronts in the test process, and stand-ins for their peers."""
--- a/tests/harness/connections.py
+++ b/tests/harness/connections.py
@@ -1,23 +1,23 @@
-"""What a test does with its own side of a connection."""
+"""Operations on the test's side of a connection."""
 
 import struct
 
 import gevent
 from gevent import socket
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: a close resets the connection
-SMALL_BUFFER = 4096  # bytes that the socket of a peer which reads nothing holds, about
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER value with which a close resets the connection
+SMALL_BUFFER = 4096  # approximate bytes that are buffered for a peer that does not read
 SILENCE_SECONDS = 0.02
 
 
 def reset(sock: socket.socket) -> None:
-    """Closes a connection by a reset."""
+    """Closes a connection with a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     sock.close()
 
 
 def is_silent(sock: socket.socket) -> bool:
-    """Whether nothing comes for a moment and the connection stays open."""
+    """Whether the connection stays open and no data arrives for `SILENCE_SECONDS`."""
     with gevent.Timeout(SILENCE_SECONDS, False):
         sock.recv(1)
         return False
@@ -25,7 +25,7 @@
 
 
 def read_bytes(sock: socket.socket, size: int) -> bytes:
-    """Reads so many bytes or more; fewer where the connection ends before."""
+    """Reads at least `size` bytes, or fewer if the connection ends earlier."""
     received = b""
     while len(received) < size and (data := sock.recv(1 << 16)):
         received += data
--- a/tests/harness/control_plane.py
+++ b/tests/harness/control_plane.py
@@ -1,4 +1,4 @@
-"""Control nodes, as processes or scripted, and a front that follows them."""
+"""Control nodes, as processes or as scripted stand-ins, and a front that is connected to them."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from tests.harness.waiting import wait_until
 
 Address = tuple[str, int]
-WAIT_SECONDS = 20  # far above what anything here takes, also on a busy machine
+WAIT_SECONDS = 20  # far longer than any step here takes, even on a busy machine
 
 
 def free_address() -> Address:
-    """A loopback address at which nobody listens."""
+    """A loopback address at which no process listens."""
     return "127.0.0.1", free_port()
 
 
@@ -32,13 +32,13 @@
     deployment: str = "d",
     more: str = "",
 ) -> str:
-    """The text of a control plane's settings.
+    """The text of the settings file of a control plane.
 
     Args:
-        discovery: The discovery service of the one region.
-        fronts: Its fronts, as the settings name them.
-        nodes: Of each node, which is in a zone of its own, its address and its quorum address.
-        deployment: Its name.
+        discovery: The address of the discovery service of the only region.
+        fronts: The value of the region's `front` field.
+        nodes: The address and the quorum address of each node by name; each node is in its own zone.
+        deployment: The name of the deployment.
         more: Further settings.
     """
     lines = [
@@ -54,11 +54,11 @@
 
 
 class NodeProcesses:
-    """Control nodes as processes, each with a log for each of its starts.
+    """Control nodes as processes; each start of a node writes a new log.
 
     Args:
-        folder: Where settings and logs go.
-        optimize: Whether nodes run without their assertions, as operators have them.
+        folder: The directory of settings and logs.
+        optimize: Whether nodes run without assertions, as in production.
     """
 
     def __init__(self, folder: Path, optimize: bool = True) -> None:
@@ -67,19 +67,19 @@
         self.logs: dict[str, list[LogFile]] = {}
 
     def settings_file(self, name: str) -> Path:
-        """The settings of that node."""
+        """The settings file of a node."""
         return self.folder / "control.textproto"
 
     def arguments(self, name: str) -> list[str]:
-        """The command that runs that node."""
+        """The command-line arguments that run a node."""
         return ["control", "run", str(self.settings_file(name)), "--name", name]
 
     def log(self, name: str) -> LogFile:
-        """The log of that node's last start."""
+        """The log of a node's last start."""
         return self.logs[name][-1]
 
     def start(self, *names: str, environment: dict[str, str] | None = None) -> None:
-        """Starts these nodes; returns at once."""
+        """Starts nodes, and returns without waiting for them to be ready."""
         for name in names:
             logs = self.logs.setdefault(name, [])
             logs.append(LogFile(self.folder / f"{name}-{len(logs)}.log"))
@@ -89,12 +89,12 @@
                 )
 
     def send_signal(self, number: int, *names: str) -> None:
-        """Sends a signal to these nodes."""
+        """Sends a signal to nodes."""
         for name in names:
             self.running[name].send_signal(number)
 
     def stop(self, name: str, seconds: float) -> int:
-        """Has a node shut down; returns its exit code."""
+        """Shuts a node down gracefully, and returns its exit code."""
         process = self.running.pop(name)
         process.terminate()
         try:
@@ -104,7 +104,7 @@
         return process.returncode
 
     def kill(self, *names: str) -> None:
-        """Kills these nodes."""
+        """Kills nodes with SIGKILL."""
         self.send_signal(signal.SIGKILL, *names)
         for name in names:
             end_process(self.running.pop(name))
@@ -115,19 +115,19 @@
 
 
 class ControlPlane:
-    """One front between a scripted discovery service and control nodes.
+    """One front, with a scripted discovery service and control nodes.
 
     Args:
-        folder: Where files go.
-        node_count: How many nodes the settings list; each in a zone of its own.
-        scripted: The nodes run in this process and do as the test says; else they are processes.
-        discovery_address: That of the discovery service where it is not the scripted one.
+        folder: The directory of all files.
+        node_count: The number of nodes in the settings; each is in its own zone.
+        scripted: Whether the nodes are scripted stand-ins in the test process instead of processes.
+        discovery_address: The address of another discovery service, which replaces the scripted one.
         settings: Further settings of the control plane.
 
     Attributes:
-        front: The front, which `start_front` starts.
-        nodes: The scripted nodes.
-        processes: The nodes that are processes, which `start_node` starts.
+        front: The front; `start_front` starts it.
+        nodes: The scripted nodes by name.
+        processes: The nodes that run as processes; `start_node` starts them.
         discovery: The scripted discovery service.
     """
 
@@ -158,7 +158,7 @@
         self.front = FrontProcess(folder, WAIT_SECONDS, environment)
 
     def start_front(self, **changes: object) -> None:
-        """Starts the front; `changes` replaces entries of its configuration."""
+        """Starts the front and waits until it is ready; `changes` replaces entries of its configuration."""
         addresses = {
             "listen": address_text(free_address()),
             "coordinator": address_text(self.discovery_address),
@@ -168,22 +168,22 @@
         self.wait_until(lambda: self.front.events("ready"))
 
     def start_node(self, name: str) -> None:
-        """Starts a node as a process."""
+        """Starts a node as a process, and waits until it is ready."""
         self.processes.start(name)
         self.wait_until(lambda: self.processes.log(name).events(event="ready"))
 
     @staticmethod
     def wait_until(condition: Callable[[], object]) -> None:
-        """Waits for something that processes bring about."""
+        """Waits until a condition holds that depends on other processes."""
         wait_until(condition, WAIT_SECONDS, POLL_SECONDS)
 
     def cache_states(self) -> dict[str, str]:
-        """The caches of the front and their states."""
+        """The state of each cache at the front, by the name of the cache."""
         upstreams = self.front.counters_event()["upstreams"]
         return {upstream["upstream"]: upstream["state"] for upstream in upstreams}
 
     def current_nodes(self) -> set[str]:
-        """The nodes that are up to date at the front."""
+        """The names of the nodes that the front reports as current."""
         nodes = self.front.counters_event()["control"]["nodes"]
         return {node["node"] for node in nodes if node["current"]}
 
--- a/tests/harness/departure_front.py
+++ b/tests/harness/departure_front.py
@@ -1,4 +1,4 @@
-"""An in-process front whose clients leave while stand-ins hold their requests in one state."""
+"""An in-process front for tests in which clients disconnect while their requests are held in one state."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 from tests.harness.settings import FRONT_SETTINGS
 from tests.harness.waiting import wait_until
 
-GRACE_SECONDS = 0.1  # after a client has left, from which on no attempt may begin for it
-LOOP_TURNS = 10  # that the event loop gets beside those seconds: a stalled machine is no fault of the front
-MAX_CONNECTIONS = 400  # of clients, and to caches
+GRACE_SECONDS = 0.1  # after a client has disconnected; no attempt may start for it later than this
+LOOP_TURNS = 10  # turns of the event loop beside those seconds, so that a stalled machine fails no test
+MAX_CONNECTIONS = 400  # from clients, and likewise to caches
 CACHE_IDS = ("s1", "s2", "s3")
-TIMEOUT_MS = 10_000  # of each request, and the deadline of its class
-# A latency objective that a busy machine does not miss: past it, the policy would make no attempt anyway.
+TIMEOUT_MS = 10_000  # timeout of each request and deadline of its class
+# A latency objective that is met even on a busy machine: once it has passed, the policy starts no attempt.
 OBJECTIVE = {"Aim": 3000.0, "Deadline": float(TIMEOUT_MS)}
 SETTINGS = FRONT_SETTINGS | {"Classes": [FRONT_SETTINGS["Classes"][0] | OBJECTIVE]}
 LIMITS = FrontLimits(
@@ -42,20 +42,20 @@
     clients=MAX_CONNECTIONS,
     client_buffers=4 << 20,
 )
-CACHED_OBJECT = 0x00000000000000AA  # the front has it cached
-CACHED_SIZE = 100_000  # bytes of it: more than an unread connection takes, and than the reader waits for
-UNKNOWN_CANCEL = resp_array(b"NEVERMIND", b"99")  # a message that is read and needs no response
+CACHED_OBJECT = 0x00000000000000AA  # id of the object that `cache_object` puts into the front's cache
+CACHED_SIZE = 100_000  # bytes: more than an unread connection buffers and than one read returns
+UNKNOWN_CANCEL = resp_array(b"NEVERMIND", b"99")  # a cancel for an unknown tag, which gets no response
 
 
 class ReportFirstPolicy(Policy):
-    """A policy that asks for a load report before the first attempt of a request."""
+    """A policy that requests a load report before the first attempt of each request."""
 
     def __init__(self, parameters: Parameters, host: PolicyHost) -> None:
         self.pending: list[Request] = []
         super().__init__(parameters, host)
 
     def handle_request(self, request: Request) -> None:
-        """Serves a cached object; else asks for a report first."""
+        """Serves a cached object, or requests a load report before the first attempt."""
         if request.cached:
             super().handle_request(request)
             return
@@ -63,12 +63,12 @@
         self.host.probe_load(self.upstreams.zone_caches[0])
 
     def client_disconnected(self, request: Request) -> None:
-        """Forgets the request."""
+        """Removes the request from the pending ones."""
         self._forget(request)
         super().client_disconnected(request)
 
     def give_up(self, request: Request, reason: str = "") -> None:
-        """Forgets the request."""
+        """Removes the request from the pending ones."""
         self._forget(request)
         super().give_up(request, reason)
 
@@ -77,7 +77,7 @@
             self.pending.remove(request)
 
     def on_timer(self) -> None:
-        """Starts what waited, once there is a report."""
+        """Handles the pending requests once a load report has arrived."""
         super().on_timer()
         if self.upstreams.zone_caches[0].reported_at:
             pending, self.pending = self.pending, []
@@ -86,11 +86,11 @@
 
 
 class DepartureFront(InProcessFront):
-    """A front with the real policy, whose connections to caches come up when the test lets them.
+    """A front with the real policy, whose connections to caches are established when the test permits it.
 
     Attributes:
-        network: Holds connections to caches.
-        reading_on: An event for which a test may have the front wait as it reads.
+        network: Delays connections to caches until the test opens its gate.
+        reading_on: An event on which a test may make the reads of the front wait; `close` sets it.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, policy: type[Policy] = Policy) -> None:
@@ -113,55 +113,55 @@
             gevent.sleep(0.002)
 
     def connect_client(self) -> socket.socket:
-        """A client's connection, which the front has accepted."""
+        """Connects a client, and waits until the front has accepted the connection."""
         known = set(self.client_listener.connections.open)
         sock = super().connect_client()
         wait_until(lambda: set(self.client_listener.connections.open) - known)
         return sock
 
     def request(self, tag: int, request_id: str, object_id: int = 0, body: bytes = b"") -> bytes:
-        """The bytes of a request; without an object id, for an object of its own."""
+        """The bytes of a request; if `object_id` is 0, the object id is the request id."""
         object_id = object_id or int(request_id, 16)
         return request_message(tag, request_id, object_id, TIMEOUT_MS, class_name=self.class_name, body=body)
 
     def cache_object(self) -> None:
-        """The front has one object cached, with which it responds at admission."""
+        """Puts an object into the front's cache, which is then served at admission."""
         cached = CachedObject(b"x" * CACHED_SIZE, ENTITY_TAG, clock.now(), 17)
         self.local_cache.put(CACHED_OBJECT, 0, cached, 0)
 
     def attempts(self, request_id: str) -> list[ArrivedAttempt]:
-        """The attempts for a request at all caches, in the order in which they began."""
+        """The attempts for a request at all caches, in the order in which they arrived."""
         arrived = [attempt for cache in self.caches for attempt in cache.attempts]
-        of_request = [attempt for attempt in arrived if attempt.request_id == request_id]
-        return sorted(of_request, key=lambda attempt: attempt.began)
+        matching = [attempt for attempt in arrived if attempt.request_id == request_id]
+        return sorted(matching, key=lambda attempt: attempt.began)
 
     def wait_for_attempts(self, request_id: str, count: int) -> ArrivedAttempt:
-        """Waits for so many attempts; returns the last of them."""
+        """Waits until `count` attempts have arrived for a request, and returns the last of these."""
         wait_until(lambda: len(self.attempts(request_id)) >= count)
         return self.attempts(request_id)[count - 1]
 
     def began_after(self, request_id: str, left_at: float) -> int:
-        """How many attempts began later after their client had left than is allowed."""
+        """The number of attempts that started more than `GRACE_SECONDS` after the client had disconnected."""
         return sum(attempt.began - left_at > GRACE_SECONDS for attempt in self.attempts(request_id))
 
     def is_open(self, request_id: str) -> bool:
-        """Whether the front has still to decide on a request."""
+        """Whether the front has not decided on a request yet."""
         open_requests = self.policy_driver.open_requests.by_request.items()
         object_id = int(request_id, 16)
         return any(request.object_id == object_id and not one.decided for request, one in open_requests)
 
     def run_loop_turns(self, turns: int = LOOP_TURNS) -> None:
-        """Gives the event loop so many turns, with reads of sockets between them."""
+        """Runs the event loop for a number of turns, in which it also reads sockets."""
         for _ in range(turns):
             gevent.sleep(0.001)
 
     def pass_grace(self, left_at: float) -> None:
-        """Waits for as long as an attempt may still begin, and gives the front its turns in that time."""
+        """Waits until the grace time after the disconnect has passed, and then runs the event loop."""
         gevent.sleep(max(0.0, left_at + GRACE_SECONDS + 0.001 - time.monotonic()))
         self.run_loop_turns()
 
     def close(self) -> None:
-        """Ends the front and its caches."""
+        """Closes the front, its caches and the network."""
         self.network.open_gate()
         self.reading_on.set()
         super().close()
--- a/tests/harness/discovery.py
+++ b/tests/harness/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery services that fall silent, are slow, or are away at first."""
+"""Discovery services that stop sending, send slowly, or send nothing at first."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class ScriptedDiscovery(DiscoveryService):
-    """A discovery service whose open connections can fall silent and stay open.
+    """A discovery service that can stop sending on its open connections without closing them.
 
     Args:
-        source: A discovery service whose events it has, too.
+        source: A discovery service whose events are copied.
 
     Attributes:
-        follow_requests: What fronts have sent first on each connection.
-        heartbeats: How many were sent while any front followed.
+        follow_requests: The first line that a front sent on each connection.
+        heartbeats: The number of heartbeats that were sent while at least one front was connected.
     """
 
     def __init__(self, source: DiscoveryService | None = None) -> None:
@@ -43,32 +43,32 @@
         super()._broadcast(line)
 
     def announce_entries(self, entries: list[dict[str, Any]], full_list: bool = False) -> None:
-        """Sends an endpoint list."""
+        """Announces an endpoint list to the connected fronts."""
         self._publish_list(entries, full_list)
 
     def announce_draining(self, cache: ScriptedCache) -> None:
-        """Sends that this cache drains."""
+        """Announces that a cache is draining."""
         self.announce_entries([endpoint_entry(cache.name, cache.address, cell=cache.cell, state="leaving")])
 
     def fall_silent(self) -> None:
-        """Nothing more is sent on the connections that are open; new ones are served."""
+        """Stops sending on all open connections without closing them; new connections are served."""
         self.silenced += self.watchers
         self.watchers.clear()
 
     def close(self) -> None:
-        """Ends all connections."""
+        """Closes all connections."""
         super().close()
         for sock in self.silenced:
             sock.close()
 
 
 class SlowDiscovery(ScriptedDiscovery):
-    """A discovery service that accepts at once and sends its first line late, or in pieces.
+    """A discovery service that accepts at once, but sends its events late or in pieces.
 
     Args:
-        source: A discovery service whose events it has, too.
-        delay: Seconds until all of its first lines are sent.
-        pieces: In how many pieces they are sent, spread over the delay.
+        source: A discovery service whose events are copied.
+        delay: Seconds until all events that existed at the connect are sent.
+        pieces: The number of pieces in which these are sent, spread evenly over `delay`.
     """
 
     def __init__(self, source: DiscoveryService, delay: float, pieces: int = 1) -> None:
@@ -92,9 +92,9 @@
 
 
 class GatedDiscovery(DiscoveryService):
-    """A discovery service that accepts every connection, and sends nothing before it is released.
+    """A discovery service that accepts every connection, but sends nothing before `released` is set.
 
-    With `for_good` the connections that came up before stay silent then, too.
+    With `for_good`, connections that were accepted earlier are never served, even after `released` is set.
     """
 
     def __init__(self, address: tuple[str, int] = ("127.0.0.1", 0), for_good: bool = False) -> None:
@@ -111,14 +111,14 @@
         super()._follow(sock)
 
     def close(self) -> None:
-        """Ends all connections, those that were never served too."""
+        """Closes all connections, including those that were never served."""
         super().close()
         for sock in self.silenced:
             sock.close()
 
 
 def returned_discovery(address: tuple[str, int], event_lines: Iterable[bytes]) -> DiscoveryService:
-    """A discovery service that has come back at its address, with the events that it had sent."""
+    """A discovery service that is restarted at an address with the given events."""
     discovery = DiscoveryService(ZONE, address)
     discovery.event_lines = list(event_lines)
     return discovery
--- a/tests/harness/faulty_front.py
+++ b/tests/harness/faulty_front.py
@@ -1,4 +1,4 @@
-"""A front as a process under faults: a preloaded library that makes calls fail, and signals."""
+"""A front process under faults: a preloaded library makes its system calls fail, and signals stop it."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class FaultyFront(FrontWithCaches):
-    """A front with the preloaded library, before two caches.
+    """A front with scripted caches, run with the preloaded fault library.
 
     Args:
-        folder: For its files.
-        caches: Listed by its discovery service.
-        faults: Fields of the library's control that are set before the front starts.
-        environment: More variables of the process.
+        folder: The directory of its files.
+        caches: The caches that its discovery service lists.
+        faults: Control fields of the fault library that are set before the front starts.
+        environment: Further environment variables of the process.
     """
 
     REQUEST_TIMEOUT_MS = 4000
-    # A latency objective that a request meets with half of its time gone.
+    # A latency objective that a request still meets after half of its timeout has passed.
     SETTINGS = front_settings(page={"Aim": 2000.0})
 
     def __init__(
@@ -51,9 +51,10 @@
 
     @contextmanager
     def stalled_after_poll(self, trigger: Callable[[], object]) -> Iterator[None]:
-        """The front has no turn from just after the poll that brings what `trigger` does, to the end.
+        """Stalls the front, until the body ends, right after the poll that returns the effect of `trigger`.
 
-        It waits for a poll first: a reader that is about to read would take what comes without one.
+        `trigger` is called only once the front polls, since a read that is already due would otherwise
+        receive the data without a poll.
         """
         wait_until(lambda: self.control.get("polling"), 5.0)
         self.control.set("hold", 1)
@@ -66,7 +67,7 @@
 
     @contextmanager
     def stopped(self, seconds: float) -> Iterator[None]:
-        """Stops the process with SIGSTOP, and continues it that long after the body has ended."""
+        """Stops the process with SIGSTOP, and continues it `seconds` after the end of the body."""
         self.process.send_signal(signal.SIGSTOP)
         try:
             yield
@@ -81,26 +82,26 @@
         return request_message(tag, request_id, object_id, timeout_ms)
 
     def attempts(self, request_id: str) -> list[ReceivedAttempt]:
-        """The attempts of one request at all caches."""
+        """The attempts that all caches have received for one request."""
         return [attempt for cache in self.caches for attempt in cache.attempts_for(request_id)]
 
     def attempt_count(self) -> int:
-        """How many attempts the caches have received."""
+        """The number of attempts that all caches have received."""
         return sum(len(cache.attempts) for cache in self.caches)
 
     def reject_attempt(self, request_id: str) -> None:
-        """The cache that has received this request's attempt rejects it, so that another one follows."""
+        """Rejects the first attempt of a request at its cache, so that the front makes another attempt."""
         attempt = self.attempts(request_id)[0]
         attempt.sock.sendall(encode_response(request_id, CacheStatus.REJECTED, {}))
 
     def open_idle_connections(self, count: int = 1) -> None:
-        """Leaves so many idle connections to each cache, on which a next attempt is written at once."""
+        """Opens `count` idle connections to each cache, so that later attempts need no connect."""
         objects: list[int] = []
         for cache in self.caches:
             others = [other.name for other in self.caches if other is not cache]
             objects += [object_ranked(cache.name, *others, skip=skip) for skip in range(1000, 1000 + count)]
             cache.script = [cache.hold] * count + cache.script
-        sock = self.connect()  # after the ranking, which may take longer than a front keeps a silent client
+        sock = self.connect()  # after the search for objects, which may exceed the idle timeout of clients
         for tag, object_id in enumerate(objects, 1):
             sock.sendall(self.request(tag, numbered_id(0xF000 + tag), object_id))
         wait_until(lambda: all(len(cache.attempts) == count for cache in self.caches), 5.0)
@@ -110,7 +111,7 @@
         wait_until(lambda: self.counters_event()["open_requests"] == 0, 5.0)
 
     def connect(self) -> socket.socket:
-        """A client's connection, read and written by the test itself."""
+        """A client connection that the test reads and writes itself."""
         sock = socket.create_connection(self.listen_address, 2)
         sock.settimeout(5.0)
         return sock
--- a/tests/harness/fleet_restarts.py
+++ b/tests/harness/fleet_restarts.py
@@ -1,4 +1,4 @@
-"""Starts and ends of all fronts of a fleet at once."""
+"""Starts and stops all fronts of a fleet at once."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def seconds_without_core(pid: int) -> float:
-    """Seconds for which a process could have run and had no core; 0 where the system does not report it."""
+    """Seconds for which a runnable process waited for a core; 0 if the system does not report this."""
     with suppress(OSError):
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
     return 0.0
@@ -23,19 +23,19 @@
 
 @dataclass(frozen=True, slots=True)
 class StartDuration:
-    """How long one process took to be ready, in seconds."""
+    """Time from the start of one process until it was ready, in seconds."""
 
     elapsed: float
-    without_core: float  # of these, without a core on a machine that is busy with other things
+    without_core: float  # part of `elapsed` in which the process waited for a core of a busy machine
 
     @property
     def own_seconds(self) -> float:
-        """What the process itself took."""
+        """`elapsed` without the time in which the process waited for a core, in seconds."""
         return self.elapsed - self.without_core
 
 
 def start_all(fleet: FrontFleet, seconds: float) -> list[StartDuration]:
-    """Starts all fronts at once; waits until each answers that it is ready, for `seconds` at most."""
+    """Starts all fronts at once; waits until each reports that it is ready, for at most `seconds`."""
     starts = [StartDuration(seconds, 0.0)] * fleet.count
 
     def start(number: int) -> None:
@@ -53,7 +53,7 @@
 
 
 def stop_all(fleet: FrontFleet, signal_number: int, seconds: float) -> None:
-    """Ends all processes with that signal, and waits until they are gone."""
+    """Sends a signal to all processes, and waits until they have ended."""
     for number in fleet.processes:
         fleet.signal(number, signal_number)
     with gevent.Timeout(seconds):
--- a/tests/harness/front_with_caches.py
+++ b/tests/harness/front_with_caches.py
@@ -1,4 +1,4 @@
-"""A front as a process before scripted caches and a discovery service that can fall silent."""
+"""A front process with scripted caches and a discovery service that can stop sending."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 from tests.harness.waiting import wait_until
 
 DESCRIPTORS = 600
-SECONDS = 10.0  # for what takes a small part of one
-TRANSFER_RATE = 100_000_000  # bytes a second of a response from the front's own memory
+SECONDS = 10.0  # time limit of each wait, which usually takes a small part of one second
+TRANSFER_RATE = 100_000_000  # bytes per second of a response that is served from the front's own cache
 
 
 class FrontWithCaches(FrontProcess):
-    """A front that is started with these caches and with a discovery service.
+    """A front process that is started together with a discovery service that lists its caches.
 
     Args:
-        folder: For its files.
-        settings: Its settings.
-        caches: Listed by the discovery service.
-        unreachable: More caches that it lists, by name: their addresses.
-        environment: More variables of the process.
+        folder: The directory of its files.
+        settings: The settings of the front.
+        caches: The caches that the discovery service lists.
+        unreachable: The addresses of further listed caches, by name.
+        environment: Further environment variables of the process.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         wait_until(lambda: self.events("ready") and self.discovery.watchers, SECONDS, POLL_SECONDS)
 
     def configure_discovery(self, settings: dict[str, Any], discovery: DiscoveryService) -> None:
-        """Writes a configuration with what that discovery service has sent by now."""
+        """Writes a configuration that includes all events that a discovery service has sent so far."""
         updates = [json.loads(line) for line in discovery.event_lines]
         self.configure(
             front_configuration(
@@ -75,13 +75,13 @@
         )
 
     def move_to(self, settings: dict[str, Any], discovery: DiscoveryService) -> None:
-        """Reloads a configuration with another discovery service."""
+        """Makes the front reload its configuration with another discovery service."""
         self.discovery_services.append(discovery)
         self.configure_discovery(settings, discovery)
         self.process.send_signal(signal.SIGHUP)
 
     def connect_client(self) -> Client:
-        """A new client."""
+        """Connects a new client."""
         self.clients.append(Client(self.listen_address, len(self.clients) + 1))
         return self.clients[-1]
 
@@ -93,7 +93,7 @@
         timeout_ms: int = REQUEST_TIMEOUT_MS,
         key: str = "",
     ) -> ClientResponse | None:
-        """Sends a client's request and waits for its response; `key` is its idempotency key."""
+        """Sends a client's request and waits for its response; `key` is the idempotency key."""
         trace = client.seed << 40 | next(Client.trace_ids)
         fields = request_fields(numbered_id(trace), timeout_ms, object_id)
         fields += f",nonce={key}" if key else ""
@@ -102,7 +102,7 @@
         return client.send_command(next(client.tags), b"ASK", *arguments, timeout_seconds=seconds)
 
     def close(self) -> None:
-        """Ends all, and asserts what holds of every front."""
+        """Shuts everything down, and asserts that the front exited with 0 and no invariant was violated."""
         broken = sum(client.duplicate_responses + client.malformed_responses for client in self.clients)
         for client in self.clients:
             client.close()
--- a/tests/harness/gated_network.py
+++ b/tests/harness/gated_network.py
@@ -1,4 +1,4 @@
-"""Connections and reads that a test holds back, so that it decides the order of events."""
+"""Connections and reads that a test delays in order to control the order of events."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ArrivedAttempt:
-    """An attempt that arrived at a cache; `began` is when its first byte did, in monotonic seconds."""
+    """An attempt that arrived at a cache; `began` is the arrival of its first byte in monotonic seconds."""
 
     request_id: str
     began: float
@@ -22,21 +22,21 @@
 
 
 class PausableCache(ConnectionServer):
-    """A cache that records attempts and health checks, and responds to none by itself.
+    """A cache that records attempts and health checks, and responds to none of them by itself.
 
     Attributes:
-        health_checks: The id of each health check, and its connection.
-        reads: While this event is clear, nothing is read.
+        health_checks: The id and the connection of each health check.
+        reads: An event; while it is clear, the cache reads nothing.
     """
 
-    def __init__(self, connection_queue: int) -> None:
+    def __init__(self, backlog: int) -> None:
         self.attempts: list[ArrivedAttempt] = []
         self.health_checks: list[tuple[str, socket.socket]] = []
         self.reads = Event()
         self.reads.set()
         super().__init__()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
-        self.listener.listen(connection_queue)
+        self.listener.listen(backlog)
 
     def _read(self, sock: socket.socket) -> None:
         while True:
@@ -48,7 +48,7 @@
             fields = (first + self._read_line_end(sock)).split()
             if fields[:1] == [b"do"]:
                 self.attempts.append(ArrivedAttempt(fields[1].decode(), arrived, sock))
-                self._skip(sock, int(fields[3]) + 2)
+                self._discard(sock, int(fields[3]) + 2)
             elif fields[:1] in ([b"ping"], [b"top"]):
                 self.health_checks.append((fields[1].decode(), sock))
 
@@ -58,22 +58,22 @@
             line += byte
         return line
 
-    def _skip(self, sock: socket.socket, size: int) -> None:
+    def _discard(self, sock: socket.socket, size: int) -> None:
         while size > 0 and (data := sock.recv(min(size, 1 << 16))):
             size -= len(data)
             self.reads.wait()
 
 
 class GatedNetwork:
-    """Stands in for the `socket` module where connections to caches are made, and holds them."""
+    """Replaces the `socket` module of the connection pool, and delays connects to caches by a gate."""
 
     AF_INET, SOCK_STREAM = socket.AF_INET, socket.SOCK_STREAM
     IPPROTO_TCP, TCP_NODELAY = socket.IPPROTO_TCP, socket.TCP_NODELAY
 
     def __init__(self) -> None:
         self.refuse_one, self.waiting = False, 0
-        # Readable while connections may come up: a greenlet waits for one as for a real connect.
-        self.gate, self.opener = socket.socketpair()
+        # Readable while the gate is open, so that a greenlet waits on the event loop as for a real connect.
+        self.gate, self.gate_writer = socket.socketpair()
         self.open_gate()
         network = self
 
@@ -81,20 +81,20 @@
             def connect(self, address: tuple[str, int]) -> None:
                 self.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER)
                 super().connect(address)
-                network.pass_gate()
+                network.wait_for_gate()
 
         self.socket = GatedSocket
 
     def open_gate(self) -> None:
-        """Connections come up from now on, and those that wait do."""
-        self.opener.send(b"x")
+        """Lets waiting and new connections be established."""
+        self.gate_writer.send(b"x")
 
     def close_gate(self) -> None:
-        """Connections wait from now on."""
+        """Makes new connections wait."""
         self.gate.recv(1 << 10)
 
-    def pass_gate(self) -> None:
-        """Waits until connections may come up; raises where this one is refused."""
+    def wait_for_gate(self) -> None:
+        """Waits until the gate is open; raises ConnectionRefusedError if this connection is to be refused."""
         self.waiting += 1
         try:
             socket.wait_read(self.gate.fileno())
@@ -105,6 +105,6 @@
             raise ConnectionRefusedError
 
     def close(self) -> None:
-        """Closes its own sockets."""
-        for sock in (self.gate, self.opener):
+        """Closes the sockets of the gate."""
+        for sock in (self.gate, self.gate_writer):
             sock.close()
--- a/tests/harness/idle_programs.py
+++ b/tests/harness/idle_programs.py
@@ -1,4 +1,4 @@
-"""Programs that serve, started as processes with nothing to do: a front, a gateway, a control node."""
+"""Idle server processes: a front, a gateway or a control node without any requests."""
 
 import json
 import signal
@@ -21,12 +21,12 @@
 from tests.harness.waiting import wait_until
 
 SIGNAL_PERIOD_SECONDS = 0.002
-EXIT_SECONDS = 20  # far above what the exit of an idle program takes
-CLIENTS_PORT = 0  # in the ports of a gateway
+EXIT_SECONDS = 20  # far longer than the exit of an idle program takes
+CLIENTS_PORT = 0  # index of the client port in the ports of a gateway
 
 
-def taken_address(address: tuple[str, int]) -> socket.socket:
-    """Listen at an address, so that nothing else can."""
+def occupy_address(address: tuple[str, int]) -> socket.socket:
+    """Listens at an address, so that no other process can."""
     sock = socket.socket()
     sock.bind(address)
     sock.listen()
@@ -37,30 +37,30 @@
     """A process of the program with its log.
 
     Args:
-        folder: Where the log goes.
-        arguments: Those of the program.
-        environment: Variables of the process beside those of the tests.
-        ready_event: What it logs once it is in service.
+        folder: The directory of the log.
+        arguments: The command-line arguments of the program.
+        environment: Environment variables of the process in addition to those of the tests.
+        ready_event: The log event that shows that the program is in service.
 
     Attributes:
-        taken: The socket at its address, where that is taken.
+        blocking_socket: The socket that occupies the address of the program, or None if the address is free.
     """
 
     def __init__(
         self, folder: Path, arguments: list[str], environment: dict[str, str], ready_event: str
     ) -> None:
         self.log, self.ready_event = LogFile(folder / "program.log"), ready_event
-        self.taken: socket.socket | None = None
+        self.blocking_socket: socket.socket | None = None
         with self.log.path.open("wb") as log:
             self.process = start_process(program_command(*arguments), log, environment)
 
     @property
     def is_ready(self) -> bool:
-        """It is in service, by its log."""
+        """Whether the log shows that the program is in service."""
         return bool(self.log.events(event=self.ready_event))
 
     def send_until(self, number: signal.Signals, condition: Callable[[], object], seconds: float) -> None:
-        """Send a signal each 2 ms until a condition holds, or the process has ended."""
+        """Sends a signal every 2 ms until a condition holds or the process has ended."""
         deadline = time.monotonic() + seconds
         while not condition() and self.process.poll() is None:
             assert time.monotonic() < deadline
@@ -68,20 +68,20 @@
             gevent.sleep(SIGNAL_PERIOD_SECONDS)
 
     def catches(self, number: signal.Signals) -> bool:
-        """Return whether the process has a handler for a signal, by its status in /proc."""
+        """Whether the process has a handler for a signal, according to its status in /proc."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         caught = next(line.split()[1] for line in status.splitlines() if line.startswith("SigCgt:"))
         return bool(int(caught, 16) >> (number - 1) & 1)
 
     def wait_for_exit(self) -> int:
-        """Wait until the process has ended; return its exit code."""
+        """Waits until the process has ended, and returns its exit code."""
         wait_until(lambda: self.process.poll() is not None, EXIT_SECONDS)
         return self.process.returncode
 
 
 @contextmanager
 def front(folder: Path) -> Iterator[Program]:
-    """Start a front without clients and caches."""
+    """Starts a front that has no clients and whose caches are unreachable."""
     discovery, path = LineServer(), folder / "front.json"
     listen_address, discovery_address = map(address_text, (free_address(), discovery.address))
     path.write_text(json.dumps(front_configuration(listen=listen_address, coordinator=discovery_address)))
@@ -92,29 +92,29 @@
 
 
 @contextmanager
-def gateway(folder: Path, address_taken: bool = False) -> Iterator[Program]:
-    """Start a gateway whose other region has none that runs; its address for clients may be taken."""
+def gateway(folder: Path, address_in_use: bool = False) -> Iterator[Program]:
+    """Starts a gateway without a running peer region; its client address may be in use already."""
     regions = StandInRegions(LINK)
     address = ("127.0.0.1", regions.east.ports["east-1"][CLIENTS_PORT])
-    taken = taken_address(address) if address_taken else None
+    blocking_socket = occupy_address(address) if address_in_use else None
     path = folder / "two_regions.textproto"
     path.write_text(regions.deployment_text())
     program = Program(folder, ["gateway", "--deployment", str(path), "--name", "east-1"], {}, "ready")
-    program.taken = taken
+    program.blocking_socket = blocking_socket
     yield program
     end_process(program.process)
     regions.close()
 
 
 @contextmanager
-def control_node(folder: Path, address_taken: bool = False) -> Iterator[Program]:
-    """Start a control node whose discovery service is silent; its address for fronts may be taken."""
+def control_node(folder: Path, address_in_use: bool = False) -> Iterator[Program]:
+    """Starts a control node whose discovery service sends nothing; its address may be in use already."""
     discovery, path = LineServer(), folder / "control.textproto"
     address = free_address()
-    taken = taken_address(address) if address_taken else None
+    blocking_socket = occupy_address(address) if address_in_use else None
     path.write_text(control_settings(discovery.address, "n1", {"c1": (address, free_address())}))
     program = Program(folder, ["control", "run", str(path), "--name", "c1"], {}, "listening")
-    program.taken = taken
+    program.blocking_socket = blocking_socket
     yield program
     end_process(program.process)
     discovery.close()
--- a/tests/harness/in_process_front.py
+++ b/tests/harness/in_process_front.py
@@ -1,4 +1,4 @@
-"""A front in the test's own process: the real parts, between clients and caches of the test."""
+"""A front in the test process: the real components, with clients and caches that the test controls."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontLimits:
-    """Bounds of an in-process front; sizes in bytes, times in ns. None: as the settings say."""
+    """Limits of an in-process front; sizes in bytes, times in ns. None means the value of the settings."""
 
     body_budget: int
     upstream_connections: int
@@ -53,13 +53,13 @@
 
 
 class InProcessFront:
-    """The parts of a front that handle requests, and the socket at which it accepts clients.
+    """The components of a front that handle requests, and its listener for clients.
 
     Attributes:
-        listener: Where clients connect.
-        client_clock: The clock of the client side, ns; a test may replace it.
-        loop_monitor: Not started, so that no delays are known.
-        client_sockets: The clients' sides of their connections.
+        listener: The socket that accepts clients.
+        client_clock: The clock that client connections use, in ns; a test may replace it.
+        loop_monitor: A monitor that is not started, so that it reports no delays.
+        client_sockets: The client ends of the connections.
     """
 
     def __init__(
@@ -128,14 +128,14 @@
         )
 
     def connect_client(self) -> socket.socket:
-        """A client's connection; the front may still have to accept it."""
+        """Connects a client; the front may not have accepted the connection yet."""
         sock = socket.create_connection(self.listener.getsockname())
         sock.settimeout(TIMEOUT_SECONDS)
         self.client_sockets.append(sock)
         return sock
 
     def connect_slow_client(self) -> tuple[socket.socket, ClientConnection[Request]]:
-        """A client that has read nothing yet, on a connection that holds little; and the front's side."""
+        """Connects a client with small buffers; returns its socket and the front's end of the connection."""
         sock = socket.socket()
         sock.settimeout(TIMEOUT_SECONDS)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
@@ -148,7 +148,7 @@
         return sock, connection
 
     def close(self) -> None:
-        """Ends its greenlets and closes the sockets of its clients."""
+        """Kills the greenlets of the front, and closes its listener and its clients' sockets."""
         gevent.killall(self.loops)
         for sock in (self.listener, *self.client_sockets):
             sock.close()
--- a/tests/harness/link_peer.py
+++ b/tests/harness/link_peer.py
@@ -1,4 +1,4 @@
-"""A bare connection to a gateway's listener for links, which sends whatever frames a test says."""
+"""A raw connection to a gateway's link listener, on which a test sends any frames."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from tests.harness.regions import TwoRegions
 from tests.harness.waiting import TIMEOUT_SECONDS
 
-LINK_PORT = 2  # in the ports of a gateway
+LINK_PORT = 2  # index of the link port in the ports of a gateway
 
 
 def hello_frame(**changes: object) -> bytes:
-    """The hello of the gateway west-1 to the east; `changes` replaces fields."""
+    """The hello frame of gateway west-1 to region east; `changes` replaces fields."""
     fields: dict[str, Any] = {
         "version": 1,
         "region": "west",
@@ -32,7 +32,7 @@
 
 
 def request_frame(number: int, **changes: object) -> bytes:
-    """A forwarded request for a page of the east; `changes` replaces fields."""
+    """A forwarded request for a page of region east; `changes` replaces fields."""
     fields: dict[str, Any] = {
         "number": number,
         "trace": "t",
@@ -45,7 +45,7 @@
 
 
 class LinkPeer:
-    """A connection to the listener for links of a gateway in the east."""
+    """A connection to the link listener of a gateway in region east."""
 
     def __init__(self, regions: TwoRegions, name: str = "east-1") -> None:
         self.sock = socket.create_connection(("127.0.0.1", regions.east.ports[name][LINK_PORT]))
@@ -54,27 +54,27 @@
         self.received: list[LinkMessage] = []
 
     def send(self, *data: bytes) -> LinkPeer:
-        """Sends bytes, and returns itself."""
+        """Sends bytes, and returns this peer."""
         self.sock.sendall(b"".join(data))
         return self
 
     def send_messages(self, *messages: LinkMessage) -> LinkPeer:
-        """Sends messages, and returns itself."""
+        """Sends messages, and returns this peer."""
         return self.send(*map(frames.encode, messages))
 
     def receive(self, kind: type[LinkMessage]) -> LinkMessage:
-        """The next message of a type; others before it are skipped."""
+        """Receives the next message of a type, and skips messages of other types before it."""
         while True:
             while self.received:
                 message = self.received.pop(0)
                 if isinstance(message, kind):
                     return message
             data = self.sock.recv(65536)
-            assert data, f"closed before a {kind.__name__}"
+            assert data, f"gateway closed the connection before it sent a {kind.__name__}"
             self.received += self.decoder.feed(data)
 
     def is_closed(self) -> bool:
-        """True once the gateway has closed the connection; it must do so within the time limit."""
+        """Waits until the gateway closes the connection; raises TimeoutError if it stays open."""
         with suppress(ConnectionError):
             while self.sock.recv(65536):
                 pass
--- a/tests/harness/objects.py
+++ b/tests/harness/objects.py
@@ -1,4 +1,4 @@
-"""Objects for which the policy prefers certain caches, and objects of the least size."""
+"""Objects for which the policy prefers certain caches, and pages of the smallest size."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 
 def ranked_caches(object_id: int, names: Iterable[str]) -> list[str]:
-    """These caches in the order in which the policy prefers them for an object."""
+    """The caches in the order in which the policy prefers them for an object."""
     return sorted(names, key=lambda name: rendezvous_score(object_id, 0, name.encode()), reverse=True)
 
 
 def object_ranked(*names: str, skip: int = 0) -> int:
-    """An object for which the policy prefers these caches in this order; `skip` leaves out so many."""
+    """An object for which the policy prefers the caches in the given order; the first `skip` are left out."""
     found = (id for id in itertools.count(1) if ranked_caches(id, names) == list(names))
     return next(itertools.islice(found, skip, None))
 
 
 def page_object(seed: int, number: int) -> int:
-    """One of many objects whose lower bits say a page of the least size."""
+    """A pseudo-random object id whose lower bits denote a page of the smallest size."""
     return (1 + int(hashed_fraction(seed, "object", number) * 2**30)) << 32
 
 
 def early_page_object(cache: str, caches: list[str], key_range: float) -> int:
-    """A page that the policy prefers that cache for, and that is in its key range early in its slow start."""
+    """A page that prefers `cache`, and is in the key range of this cache early in its slow start."""
     pages = (page_object(0, number) for number in itertools.count())
     return next(
         id
--- a/tests/harness/programs.py
+++ b/tests/harness/programs.py
@@ -1,4 +1,4 @@
-"""The program as a process: how it is started and ended."""
+"""Starts and ends the program as a process."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from tests.harness.settings import front_configuration
 from tests.harness.waiting import START_TIMEOUT_SECONDS, wait_until
 
-ROOT = Path(__file__).parents[2]  # of the checkout
+ROOT = Path(__file__).parents[2]  # root directory of the checkout
 POLL_SECONDS = 0.01
 
 
 def program_command(*arguments: object, optimize: bool = True) -> list[str]:
-    """The command line that starts the program; `optimize` leaves out its assertions, as operators do."""
+    """The command line that starts the program; `optimize` disables assertions, as in production."""
     return [sys.executable, *["-O"] * optimize, "-m", "marbleglade", *map(str, arguments)]
 
 
@@ -34,7 +34,7 @@
     stdout: IO[bytes] | None = None,
     folder: Path | None = None,
 ) -> subprocess.Popen[bytes]:
-    """Starts a process; `environment` is added to that of the tests, without their control plane."""
+    """Starts a process; `environment` is added to that of the tests without MARBLEGLADE_CONTROL."""
     inherited = {name: value for name, value in os.environ.items() if name != "MARBLEGLADE_CONTROL"}
     return subprocess.Popen(command, stderr=stderr, stdout=stdout, env=inherited | environment, cwd=folder)
 
@@ -52,10 +52,10 @@
 def run_program(
     *arguments: object, seconds: float = 60.0, environment: dict[str, str] | None = None
 ) -> CompletedProcess[str]:
-    """Runs the program, with its assertions, to its end, while this process's own servers go on.
+    """Runs the program with assertions until it exits, while servers in the test process continue to run.
 
     Raises:
-        gevent.Timeout: It did not end within `seconds`; it is killed then.
+        gevent.Timeout: The program did not exit within `seconds`; it is killed.
     """
     with tempfile.TemporaryFile() as stdout, tempfile.TemporaryFile() as stderr:
         command = program_command(*arguments, optimize=False)
@@ -78,7 +78,7 @@
 
 
 class StartedFront(NamedTuple):
-    """A front as a process, with stand-ins for its cache and its discovery service."""
+    """A front process, with stand-ins for its cache and its discovery service."""
 
     process: subprocess.Popen[bytes]
     listen_address: tuple[str, int]
@@ -87,7 +87,7 @@
 
 
 def start_with_piped_log(environment: dict[str, str]) -> subprocess.Popen[bytes]:
-    """Starts a front whose log is a pipe."""
+    """Starts a front that logs to a pipe."""
     return start_program(subprocess.PIPE, environment=environment)
 
 
@@ -97,9 +97,9 @@
     changes: dict[str, object],
     start: Callable[[dict[str, str]], subprocess.Popen[bytes]] = start_with_piped_log,
 ) -> Iterator[StartedFront]:
-    """Starts a front by `start`, which is called with its environment.
+    """Starts a front with `start`, which is called with the environment variables of the process.
 
-    `changes` replaces entries of its configuration, the file `c.json`.
+    `changes` replaces entries of its configuration, which is written to the file `c.json`.
     """
     cache, discovery = LineServer(), LineServer()
     with bound_socket() as reserved:
--- a/tests/harness/regions.py
+++ b/tests/harness/regions.py
@@ -1,4 +1,4 @@
-"""Two regions with their gateways, in the test's own process."""
+"""Two regions whose gateways run in the test process."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -16,12 +16,12 @@
 
 
 class TwoRegions:
-    """Both regions with their gateways, in this process.
+    """Two stand-in regions and their gateways, which run in the test process.
 
     Args:
-        folder: Where the deployment and the log go.
-        more: Further lines of the deployment.
-        **options: Of the stand-in regions.
+        folder: The directory of the deployment file and the log.
+        more: Further lines of the deployment file.
+        **options: Options of the stand-in regions.
     """
 
     def __init__(self, folder: Path, more: str = LINK, **options: Any) -> None:
@@ -51,27 +51,27 @@
         return gateway
 
     def kill(self, name: str) -> None:
-        """Ends a gateway as SIGKILL would: its sockets are closed, and nothing is sent."""
+        """Ends a gateway as SIGKILL would: closes its sockets without sending anything."""
         self.gateways.pop(name).close()
 
     def client(self, name: str = "east-1") -> Client:
-        """A new client of a gateway."""
+        """Connects a new client to a gateway."""
         region = self.east if name.startswith("east") else self.west
         client = Client(("127.0.0.1", region.ports[name][0]), len(self.clients) + 1)
         self.clients.append(client)
         return client
 
     def links(self, name: str = "east-1") -> list[Link]:
-        """The links of a gateway to the other region."""
+        """The links from a gateway to the other region."""
         return self.gateways[name].components.requesters[0].links
 
     def count(self, counter: str, names: Iterable[str] = ("east-1", "east-2", "west-1", "west-2")) -> int:
-        """The sum of a counter over these gateways, as far as they run."""
+        """The sum of a counter over those of the named gateways that are running."""
         running = [self.gateways[name].components for name in names if name in self.gateways]
         return sum(components.counters.counts[counter] for components in running)
 
     def close(self) -> None:
-        """Ends all, and asserts what holds of every gateway."""
+        """Closes everything; asserts that all responses were valid and no invariant was violated."""
         for client in self.clients:
             client.close()
             assert not client.duplicate_responses and not client.malformed_responses
--- a/tests/harness/scripted_cache.py
+++ b/tests/harness/scripted_cache.py
@@ -1,4 +1,4 @@
-"""A cache that does with each attempt what the test says, and records the effects of attempts."""
+"""A cache that handles each attempt as the test scripts it, and records the effects of attempts."""
 
 from __future__ import annotations
 
@@ -22,11 +22,12 @@
 
 @dataclass(slots=True)
 class EffectLog:
-    """Effects at the caches: a repeat is dropped where its group knows its key, for as long as the window.
+    """Effects of attempts: caches of a group drop attempts whose key had an effect in the group recently.
 
     Attributes:
-        window: Seconds for which a key is known.
-        effects: How often each key had an effect.
+        window: The deduplication window in seconds.
+        effects: The number of effects for each key.
+        first: The time of the last effect by group and key, in monotonic seconds.
     """
 
     window: float
@@ -34,7 +35,7 @@
     first: dict[tuple[int, str], float] = field(default_factory=dict)
 
     def apply(self, group: int, key: str) -> None:
-        """An attempt runs at a cache of that group."""
+        """Runs an attempt at a cache of a group, unless its key had an effect there within the window."""
         now = time.monotonic()
         if now - self.first.get((group, key), -self.window) >= self.window:
             self.effects[key] += 1
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True)
 class ReceivedAttempt:
-    """An attempt that a cache has received whole; `received_at` in monotonic seconds."""
+    """An attempt that a cache has received completely; `received_at` is in monotonic seconds."""
 
     request: UpstreamRequest
     sock: socket.socket
@@ -52,9 +53,10 @@
 
 
 class ScriptedCache(ConnectionServer):
-    """A cache that records what arrives, and does what `script` says with each attempt.
+    """A cache that records attempts and health checks, and handles each attempt as scripted.
 
-    The first entry of `script` is called with an attempt and removed; without one it responds.
+    For each attempt, the first entry of `script` is removed and called with it. If `script` is empty, the
+    cache responds.
     """
 
     def __init__(self, name: str, cell: int = 0, effect_log: EffectLog | None = None) -> None:
@@ -88,49 +90,49 @@
         """The attempts of one request."""
         return [attempt for attempt in self.attempts if attempt.request.id == request_id]
 
-    # What a script may do with an attempt.
+    # Actions for `script`.
 
     def respond(self, attempt: ReceivedAttempt, body: bytes | None = None) -> None:
-        """Responds with the object; without a body, the cache's name."""
+        """Responds with a body; the default is the name of the cache."""
         entity = {"entity": ENTITY_TAG, "issued": f"{time.time_ns() // 1_000_000}"}
         fields = entity if attempt.request.class_name == PAGE else {}
         body = self.name.encode() if body is None else body
         attempt.sock.sendall(encode_response(attempt.request.id, CacheStatus.SERVED, fields, body))
 
     def reset(self, attempt: ReceivedAttempt) -> None:
-        """Resets the connection: the attempt may have run."""
+        """Resets the connection, so that the attempt may have run."""
         reset(attempt.sock)
 
     def hold(self, attempt: ReceivedAttempt) -> None:
-        """Sends nothing for now."""
+        """Leaves the attempt without a response; the test may respond later."""
 
     # Connections.
 
     def hold_connections(self) -> None:
-        """From now on no new connection comes up, and none is refused: the queue is full."""
+        """Fills the accept queue: new connections are neither established nor refused."""
         self.accept_loop.kill()
         self.listener.listen(0)
         self.fillers = fill_connection_queue(self.address)
 
     def release_connections(self) -> None:
-        """Connections come up again, also one that was held, once its side tries again (a second)."""
+        """Accepts connections again, including held ones after their peer retransmits its SYN (about 1 s)."""
         for filler in self.fillers:
             filler.close()
         self.listener.listen(CONNECTION_QUEUE)
         self.accept_loop = gevent.spawn(self._accept)
 
     def refuse_connections(self) -> None:
-        """The process has died."""
+        """Closes the listener, as if the process had died: new connections are refused."""
         self.accept_loop.kill()
         self.listener.close()
 
     def close(self) -> None:
-        """Ends its greenlets and closes all sockets."""
+        """Kills the greenlets of the cache and closes all sockets."""
         super().close()
         for filler in self.fillers:
             filler.close()
 
 
 def scripted_caches(count: int = 2) -> list[ScriptedCache]:
-    """So many caches, c0, c1 and so on."""
+    """Caches that are named c0, c1 and so on."""
     return [ScriptedCache(f"c{number}") for number in range(count)]
--- a/tests/harness/servers.py
+++ b/tests/harness/servers.py
@@ -1,4 +1,4 @@
-"""Listening sockets, and servers on loopback that run in the test's own process."""
+"""Listening sockets, and servers on loopback that run in the test process."""
 
 from contextlib import suppress
 
@@ -12,7 +12,7 @@
 
 
 def bound_socket(socket_type: int = socket.SOCK_STREAM) -> socket.socket:
-    """A socket at a free loopback port; one for streams listens."""
+    """A socket that is bound to a free loopback port; a stream socket also listens."""
     sock = socket.socket(socket.AF_INET, socket_type)
     sock.bind(("127.0.0.1", 0))
     if socket_type == socket.SOCK_STREAM:
@@ -21,7 +21,7 @@
 
 
 def fill_connection_queue(address: tuple[str, int], count: int = 4) -> list[socket.socket]:
-    """Connects to a listener that accepts nobody; four connections are more than the shortest queue takes."""
+    """Fills the queue of a listener that accepts no connection; four exceed the shortest queue."""
     fillers = [socket.socket() for _ in range(count)]
     for filler in fillers:
         filler.setblocking(False)
@@ -31,7 +31,7 @@
 
 
 class UnreachableAddress:
-    """An address at which connections neither come up nor are refused: its queue is full and stays so."""
+    """An address at which connections are neither established nor refused, because its queue stays full."""
 
     def __init__(self) -> None:
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -41,16 +41,16 @@
         self.fillers = fill_connection_queue(self.address)
 
     def close(self) -> None:
-        """Frees the address."""
+        """Closes the sockets and frees the address."""
         for sock in (*self.fillers, self.listener):
             sock.close()
 
 
 class ConnectionServer:
-    """Accepts connections and handles each in a greenlet of its own.
+    """Accepts connections and handles each in its own greenlet.
 
     Attributes:
-        address: Where it listens.
+        address: The address of its listener.
         sockets: All connections, in the order in which they were accepted.
     """
 
@@ -72,22 +72,22 @@
             self._read(sock)
 
     def _read(self, sock: socket.socket) -> None:
-        """Reads one connection to its end; it may raise OSError where that breaks off."""
+        """Reads one connection until it is closed; may raise OSError if the connection is lost."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Ends its greenlets and closes all sockets."""
+        """Kills the greenlets of the server and closes all sockets."""
         gevent.killall([self.accept_loop, *self.readers])
         for sock in (self.listener, *self.sockets):
             sock.close()
 
 
 class LineServer(ConnectionServer):
-    """Records the lines that it receives; it stands in for a cache or a discovery service.
+    """A server that records received lines; it stands in for a cache or a discovery service.
 
     Attributes:
-        lines: The lines of all connections, without their ends, in the order in which they came.
-        line_sockets: Of each line, the connection by which it came.
+        lines: The non-empty lines of all connections without line ends, in order of arrival.
+        line_sockets: The connection of each entry of `lines`.
     """
 
     def __init__(self) -> None:
@@ -104,6 +104,6 @@
             self.line_sockets += [sock] * len(new)
 
     def wait_for_lines(self, count: int, seconds: float = TIMEOUT_SECONDS) -> str:
-        """Waits for so many lines; returns the last one that has come."""
+        """Waits until `count` lines have been received, and returns the last received line."""
         wait_until(lambda: len(self.lines) >= count, seconds)
         return self.lines[-1]
--- a/tests/harness/settings.py
+++ b/tests/harness/settings.py
@@ -1,4 +1,4 @@
-"""Settings and configurations of fronts, as the operators write them."""
+"""Settings and configurations of fronts, as operators write them."""
 
 from typing import Any
 
@@ -40,14 +40,14 @@
 }
 
 PAGE, ORDER, PAYMENT = "page", "order", "payment"  # idempotent, non-idempotent, idempotent by key
-REQUEST_TIMEOUT_MS = 20_000  # of each request that says nothing else, and the deadline of each class
-LATENCY_OBJECTIVE_MS = 10_000.0  # past it the policy would begin no attempt, so it is far off
+REQUEST_TIMEOUT_MS = 20_000  # default timeout of requests and deadline of each class
+LATENCY_OBJECTIVE_MS = 10_000.0  # long, because the policy starts no attempt once it has passed
 DESCRIPTORS = 300
-NO_SERVICE = ("127.0.0.1", 9)
+NO_SERVICE = ("127.0.0.1", 9)  # an address at which no process listens
 
 
 def class_settings(name: str, repeat: str, **more: object) -> dict[str, Any]:
-    """One entry of the settings' `Classes`; times in ms."""
+    """One entry of `Classes` in the settings; times are in ms."""
     entry = {
         "Aim": LATENCY_OBJECTIVE_MS,
         "AimStretch": 2.0,
@@ -63,13 +63,13 @@
     page: dict[str, object] | None = None,
     report: dict[str, object] | None = None,
 ) -> dict[str, Any]:
-    """Settings with one class of each kind of effect.
+    """Settings with three request classes: idempotent, non-idempotent and idempotent by key.
 
     Args:
-        limits: Entries that replace those of `Limits`; times in ms.
-        payment: Entries of the class that may be repeated by key, as `KeyTtl` and `Group`.
-        page: Entries of the class that may be repeated freely.
-        report: How caches report their load.
+        limits: Entries that replace those of `Limits`; times are in ms.
+        payment: Entries of the class that is idempotent by key, such as `KeyTtl` and `Group`.
+        page: Entries of the idempotent class.
+        report: The `Report` entry, which describes how caches report their load.
     """
     classes = [
         class_settings(PAGE, "free", **(page or {})),
@@ -112,7 +112,7 @@
 
 
 def front_configuration(**changes: object) -> dict[str, Any]:
-    """A front's configuration, with one cache, one parent and one origin; `changes` replaces entries."""
+    """A front configuration with one cache, one parent and one origin; `changes` replaces entries."""
     servers = [endpoint_entry(id, kind=kind) for id, kind in (("s1", "box"), ("h1", "hub"), ("o1", "root"))]
     endpoints = {"index": 1, "endpoints": {"version": 1, "full": True, "servers": servers}}
     known = {"index": 2, "updates": [endpoints, {"index": 2, "evict": {"shard": 4, "unix_ms": 5}}]}
--- a/tests/harness/single_cache_front.py
+++ b/tests/harness/single_cache_front.py
@@ -1,4 +1,4 @@
-"""An in-process front that attempts each request once, at one cache, which responds as the test says."""
+"""An in-process front that makes one attempt for each request, at a cache that the test controls."""
 
 from __future__ import annotations
 
@@ -31,28 +31,28 @@
 
 
 class SingleCachePolicy(PolicyProtocol):
-    """Attempts each request once, at the cache that was listed first, and rejects it after a failure."""
+    """Makes one attempt for each request, at the first listed cache, and rejects the request if it fails."""
 
     def __init__(self, parameters: Parameters, host: PolicyDriver) -> None:
         self.parameters, self.host = parameters, host
         self.caches: list[Upstream] = []
 
     def update_endpoints(self, upstreams: list[Upstream], complete: bool) -> None:
-        """Takes over caches that were not listed before."""
+        """Adds upstreams that were not listed before."""
         self.caches += [upstream for upstream in upstreams if upstream not in self.caches]
 
     def handle_request(self, request: Request) -> None:
-        """Starts the one attempt."""
+        """Starts the only attempt of a request."""
         timeout = request.deadline - self.host.now()
         self.host.start_attempt(request, self.caches[0], self.caches[-1], timeout, 2, cache_locally=True)
 
     def attempt_finished(self, attempt: Attempt) -> None:
-        """Rejects a request that the attempt did not finish."""
+        """Rejects the request if its attempt failed."""
         if not attempt.request.finished:
             self.host.reject(attempt.request, 40 * NS_PER_MS)
 
     def client_disconnected(self, request: Request) -> None:
-        """Cancels the request's attempts."""
+        """Cancels the attempts of the request."""
         for attempt in request.attempts:
             self.host.cancel_attempt(attempt)
 
@@ -61,14 +61,14 @@
         self.host.reject(request)
 
     def handle_purge(self, object_id: int, group: int, purged_at: int) -> None:
-        """Keeps nothing that a purge concerns."""
+        """Does nothing, since this policy has no state that a purge affects."""
 
 
 class SingleCacheFront(InProcessFront):
-    """A front with `SingleCachePolicy` and with small limits.
+    """A front with `SingleCachePolicy` and small limits.
 
     Attributes:
-        cache: Stands in for every cache that is listed without an address; it responds as the test says.
+        cache: The stand-in for all caches that are listed without an address; the test sends its responses.
     """
 
     LIMITS = FrontLimits(
@@ -94,7 +94,7 @@
         address: tuple[str, int] | None = None,
         complete: bool = False,
     ) -> list[Upstream]:
-        """Applies an endpoint list that names these caches; returns all upstreams that are listed then."""
+        """Applies an endpoint list with the given caches, and returns all upstreams that are then listed."""
         address = address or self.cache.address
         members = [Endpoint(id, address, "z", "box", 0, STATE_BY_SETTING[state], started_ms) for id in ids]
         self.request_handler.events.apply(EndpointListChange(1, complete, members))
@@ -103,13 +103,13 @@
     def request(
         self, tag: int, request_id: str = REQUEST_ID.decode(), timeout_ms: int = 1000, more: str = ""
     ) -> bytes:
-        """The bytes of a request for the default object."""
+        """The bytes of a request for part 3 of the default object."""
         return request_message(
             tag, request_id, DEFAULT_OBJECT, timeout_ms, part=3, more=more, class_name=self.class_name
         )
 
     def send_request(self, response: bytes, tag: int = 7, more: str = "") -> socket.socket:
-        """Sends a new client's request, to which the cache responds; returns the client's connection."""
+        """Sends a request of a new client and the cache's response; returns the client connection."""
         sock = self.connect_client()
         sock.sendall(self.request(tag, more=more))
         self.cache.wait_for_lines(1)
@@ -126,7 +126,7 @@
         tag: str = "",
         body: bytes = b"",
     ) -> UpstreamResult:
-        """Executes one attempt, beside which `meanwhile` runs; returns how it ended."""
+        """Executes one attempt and returns its result; `meanwhile` is called while the attempt runs."""
         cache = cache or self.upstreams.by_id["s1"].upstream
         now, timeout = clock.now(), timeout_ms * NS_PER_MS
         request = Request(self.parameters.request_classes[0], 9, 0, 4, 0.0, now, now + timeout)
@@ -146,7 +146,7 @@
     def cache_responds(
         self, response: bytes, connection: int = 0, after_lines: int = 1
     ) -> Callable[[AttemptOrder], None]:
-        """The cache's response on one of its connections, once so many lines have come."""
+        """A callback that sends the response on a connection once `after_lines` lines have arrived."""
 
         def respond(_order: AttemptOrder) -> None:
             self.cache.wait_for_lines(after_lines)
@@ -155,14 +155,14 @@
         return respond
 
     def serve_from_local_cache(self, size: int, object_id: int = DEFAULT_OBJECT) -> None:
-        """The front has an object of that size cached, and serves cached objects without an attempt."""
+        """Caches an object in the front, and makes the policy serve cached objects without an attempt."""
         self.local_cache.max_bytes = 10 * size
         cached = CachedObject(b"x" * size, ENTITY_TAG, clock.now(), 17)
         self.local_cache.put(object_id, 3, cached, 0)
         self.prefer_local_cache()
 
     def prefer_local_cache(self) -> None:
-        """From now on the policy serves cached objects without an attempt."""
+        """Makes the policy serve cached objects without an attempt."""
         policy = self.policy_driver.policy
         attempt = policy.handle_request
 
@@ -175,7 +175,7 @@
         policy.handle_request = serve_cached_first  # type: ignore[method-assign]
 
     def hold_connections(self) -> Event:
-        """From now on, connections to caches come up only once the event is set."""
+        """Delays new connections to caches until the returned event is set."""
         event, pool = Event(), self.upstream_client.pool
         acquire = pool.acquire
 
@@ -187,6 +187,6 @@
         return event
 
     def close(self) -> None:
-        """Ends the front and its cache."""
+        """Closes the front and its cache."""
         super().close()
         self.cache.close()
--- a/tests/harness/stalled_loop.py
+++ b/tests/harness/stalled_loop.py
@@ -1,16 +1,16 @@
-"""A loop monitor for parts that measure time without the time for which the process was stalled."""
+"""A loop monitor for components that exclude the time of process stalls from their time measurements."""
 
 
 class StalledLoop:
-    """A loop monitor whose time and delay the test sets, ns."""
+    """A loop monitor whose time and total delay the test sets, in ns."""
 
     def __init__(self) -> None:
         self.time = self.delay = 0
 
     def now(self) -> int:
-        """The time."""
+        """The current time in ns."""
         return self.time
 
     def total_delay_until(self, now: int) -> int:
-        """The sum of all delays."""
+        """The sum of all delays of the event loop in ns."""
         return self.delay
--- a/tests/harness/units.py
+++ b/tests/harness/units.py
@@ -1,4 +1,4 @@
-"""Units of time, and the moment at which simulated clocks start."""
+"""Units of time in ns, and the time at which simulated clocks start."""
 
 NS_PER_MS = 1_000_000
 SECOND_NS = 1000 * NS_PER_MS
--- a/tests/system/test_busy_address.py
+++ b/tests/system/test_busy_address.py
@@ -16,14 +16,14 @@
 @pytest.fixture(params=[gateway, control_node], ids=lambda start: start.__name__)
 def program(request, tmp_path):
     """A gateway or a control node, one of whose addresses is taken."""
-    with request.param(tmp_path, address_taken=True) as started:
+    with request.param(tmp_path, address_in_use=True) as started:
         yield started
 
 
 def test_a_program_waits_for_an_address_that_is_taken_at_its_start(program):
     wait_until(lambda: program.log.events(event="not_listening"), START_TIMEOUT_SECONDS, 0.01)
     assert not program.is_ready and program.process.poll() is None
-    program.taken.close()
+    program.blocking_socket.close()
     wait_until(lambda: program.is_ready, START_TIMEOUT_SECONDS, 0.01)
     program.process.send_signal(signal.SIGTERM)
     assert program.wait_for_exit() == 0
--- a/tests/system/test_slow_start_of_caches.py
+++ b/tests/system/test_slow_start_of_caches.py
@@ -83,7 +83,7 @@
         serving = FRONTS - len(without)
         for number, stream in enumerate(self.load.streams):
             stream.down = number in without
-            stream.boost = BURST_FACTOR * FRONTS / serving
+            stream.rate_factor = BURST_FACTOR * FRONTS / serving
 
     def early_object(self, cache: StandInUpstream) -> int:
         """An object that is requested from that cache from its first moments on."""
