--- a/tests/harness/departure_front.py
+++ b/tests/harness/departure_front.py
@@ -27,7 +27,7 @@
 from tests.harness.waiting import wait_until
 
 GRACE_SECONDS = 0.1  # after a client has disconnected; no attempt may start for it later than this
-LOOP_TURNS = 10  # turns of the event loop beside those seconds, so that a stalled machine fails no test
+LOOP_TURNS = 10  # event loop turns in addition to the grace time, so that a stalled machine fails no test
 MAX_CONNECTIONS = 400  # from clients, and likewise to caches
 CACHE_IDS = ("s1", "s2", "s3")
 TIMEOUT_MS = 10_000  # timeout of each request and deadline of its class
--- a/tests/harness/idle_programs.py
+++ b/tests/harness/idle_programs.py
@@ -67,7 +67,7 @@
             self.process.send_signal(number)
             gevent.sleep(SIGNAL_PERIOD_SECONDS)
 
-    def catches(self, number: signal.Signals) -> bool:
+    def has_handler(self, number: signal.Signals) -> bool:
         """Whether the process has a handler for a signal, according to its status in /proc."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         caught = next(line.split()[1] for line in status.splitlines() if line.startswith("SigCgt:"))
--- a/tests/system/conftest.py
+++ b/tests/system/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of a whole front under faults."""
+"""Fixtures for tests of a complete front under faults."""
 
 import os
 import signal
@@ -11,12 +11,12 @@
 
 
 @pytest.fixture
-def faulty(tmp_path):
-    """Gives a function that starts a front with faults before these caches; ends all at the end."""
+def start_front(tmp_path):
+    """A function that starts a `FaultyFront` with the given caches; all of them are closed after the test."""
     started: list[FaultyFront] = []
 
-    def start(*caches: ScriptedCache, **more: dict) -> FaultyFront:
-        started.append(FaultyFront(tmp_path, *caches, **more))
+    def start(*caches: ScriptedCache, **options: dict) -> FaultyFront:
+        started.append(FaultyFront(tmp_path, *caches, **options))
         return started[-1]
 
     yield start
--- a/tests/system/random_peers.py
+++ b/tests/system/random_peers.py
@@ -1,4 +1,4 @@
-"""Caches that do what they may by chance, and clients, which record what they receive."""
+"""Caches that behave at random, and clients that record what they receive."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class RandomCache(StandInUpstream):
-    """Does by chance what a cache may do, and records the attempts that it receives."""
+    """A cache that behaves at random within the limits of its protocol, and records received attempts."""
 
     def __init__(self, id: str, seed: int, record: list[Event]) -> None:
         super().__init__(id, clock=time.time_ns)
@@ -54,12 +54,12 @@
     ) -> None:
         fields = {"entity": "4be0c1927d55a6f3", "issued": issued}
         data = encode_response(request.id, "HIT", fields, object_body(request.object_id, issued))
-        if draw < 0.12:  # it never responds
+        if draw < 0.12:  # no response at all
             return
         if draw < 0.18:
             sock.close()
             return
-        if draw < 0.22:  # it breaks off within its response
+        if draw < 0.22:  # closes the connection in the middle of its response
             sock.sendall(data[:-50])
             sock.close()
             return
@@ -67,15 +67,15 @@
             data = encode_response(request.id, "SHED" if draw < 0.28 else "NONE", {}, b"")
             self.record.append(AttemptRejected(time.monotonic(), self.id, request.id))
         with write_lock:
-            sock.sendall(data * (2 if draw > 0.95 else 1))  # at times a second response, too
+            sock.sendall(data * (2 if draw > 0.95 else 1))  # sometimes a second response
 
 
 class RecordingClient(Client):
-    """Records the responses that it receives.
+    """A client that records the responses that it receives.
 
     Attributes:
-        unanswered: The request id of each tag that is not answered yet.
-        has_left: The client ends the connection: it sends nothing more.
+        unanswered: The ids of requests without a response, by tag.
+        has_left: Whether the client sends nothing more, since its connection is to be closed.
     """
 
     def __init__(self, address: tuple[str, int], number: int, record: list[Event]) -> None:
@@ -95,6 +95,6 @@
             self.record.append(MalformedResponse(time.monotonic(), self.number))
 
     def send(self, data: bytes) -> None:
-        """Sends bytes, which a connection that has ended does not take."""
+        """Sends bytes; ignores the error of a closed connection."""
         with suppress(OSError):
             self.sock.sendall(data)
--- a/tests/system/random_script.py
+++ b/tests/system/random_script.py
@@ -1,7 +1,8 @@
-"""A seeded script of whatever may happen to one front, against the real program.
+"""A seeded random sequence of events for one front, which runs as a process.
 
-Requests, cancels, closes, resets, garbage, endpoint lists, purges, SIGHUP and at the end SIGTERM, while
-caches respond, reject, stay silent and break off. What all of them see is recorded.
+The events are requests, cancels, closes, resets, invalid messages, endpoint lists, purges, SIGHUP and, at the
+end, SIGTERM. Meanwhile caches respond, reject, stay silent or close connections. What clients and caches
+receive is recorded.
 """
 
 from __future__ import annotations
@@ -51,7 +52,7 @@
 
 
 class RandomScript:
-    """One script against a front of its own; `fault` is code that the front's process runs at its start."""
+    """One script with its own front; `fault` is Python code that the front's process runs at its start."""
 
     def __init__(self, folder: Path, seed: int, fault: str = "") -> None:
         self.seed, self.draws = seed, 0
@@ -71,7 +72,7 @@
         )
 
     def configure(self, discovery: int) -> None:
-        """Writes the front's configuration, with one of the discovery services."""
+        """Writes the front's configuration with the discovery service of a given index."""
         entries = [endpoint_entry(cache.id, cache.address) for cache in self.caches]
         entries.append(endpoint_entry("o1", kind="root"))
         updates = [{"index": 0, "endpoints": {"full": True, "servers": entries}}]
@@ -86,12 +87,12 @@
         self.configuration_file.write_text(json.dumps(configuration))
 
     def draw(self, count: int) -> int:
-        """A number from 0 to below `count`."""
+        """A pseudo-random integer from 0 to `count` - 1."""
         self.draws += 1
         return int(hashed_fraction(self.seed, f"step {self.draws}") * count)
 
     def client(self) -> RecordingClient | None:
-        """A client that may send, new at times; None where there is none."""
+        """A client that may send, sometimes a new one; None if there is none."""
         clients = [client for client in self.clients if not client.closed and not client.has_left]
         if len(clients) < 6 or not self.draw(8):
             with suppress(OSError):
@@ -101,7 +102,7 @@
         return clients[self.draw(len(clients))] if clients else None
 
     def send_request(self, garbage: bytes = b"") -> None:
-        """A client sends a request, and behind it what is no message."""
+        """Sends a request from a random client, followed by `garbage`, which is not a valid message."""
         client = self.client()
         if not client or len(client.unanswered) >= 30:
             return
@@ -124,16 +125,16 @@
         message = request_message(tag, request_id, object_id, timeout_ms, class_name=class_name, group=3)
         client.send(message)
         if garbage:
-            client.has_left = True  # the front may close it once all is answered
+            client.has_left = True  # the front may close the connection after all responses
             client.send(resp_array(garbage))
 
     def send_requests(self, count: int) -> None:
-        """Clients send so many requests."""
+        """Sends `count` requests from random clients."""
         for _ in range(count):
             self.send_request()
 
     def leave(self, way: str) -> None:
-        """A client cancels one request, or ends its connection by a close or a reset."""
+        """Cancels a request of a random client, or closes or resets the client's connection."""
         clients = [one for one in self.clients if one.unanswered and not one.closed and not one.has_left]
         if not clients:
             return
@@ -154,7 +155,7 @@
             client.sock.close()
 
     def drain_or_return(self, cache: RandomCache) -> None:
-        """A cache drains, or one that drained comes back restarted; both discovery services send it."""
+        """Announces at both discovery services that a cache drains, or that a drained one has restarted."""
         returned = cache in self.draining
         if not returned and len(self.draining) == 2:
             return
@@ -166,14 +167,14 @@
         self.record.append(DrainAnnounced(time.monotonic(), cache.id, returned))
 
     def purge(self) -> None:
-        """Both discovery services send the purge of all objects."""
+        """Announces a purge of all objects at both discovery services."""
         unix_ms = time.time_ns() // NS_PER_MS
         for service in self.discovery_services:
             service.purge(0, 3, unix_ms)
         self.record.append(PurgeAnnounced(time.monotonic(), unix_ms))
 
     def step(self) -> None:
-        """One thing that may happen."""
+        """Performs one random event."""
         draw = self.draw(100)
         if draw < 70:
             self.send_request()
@@ -197,7 +198,7 @@
         return False
 
     def run(self) -> list[str]:
-        """Runs the script; returns what the checker found."""
+        """Runs the script; returns the violations that the checker found, and a nonzero exit code."""
         try:
             wait_until(self.is_listening, START_SECONDS, 0.02)
             self._run_steps()
@@ -213,14 +214,14 @@
         for step in range(STEPS):
             self.step()
             gevent.sleep(0.02 * hashed_fraction(self.seed, f"pause {self.draws}"))
-            if step % (STEPS // 3) == 0:  # many leave at once, right after they sent requests
+            if step % (STEPS // 3) == 0:  # many clients leave at once, right after they have sent requests
                 self.purge()
                 self.send_requests(12)
                 for way in ("close", "cancel", "reset", "close", "cancel"):
                     self.leave(way)
 
     def _shut_down(self) -> None:
-        """Requests are sent until shortly after SIGTERM."""
+        """Sends requests until shortly after SIGTERM, and waits for the exit."""
         self.send_requests(12)
         self.process.send_signal(signal.SIGTERM)
         end = time.monotonic() + 0.35
@@ -228,11 +229,11 @@
             self.send_request()
             gevent.sleep(0.01)
         wait_until(lambda: self.process.poll() is not None, STOP_SECONDS, 0.01)
-        gevent.sleep(0.05)  # what the system still holds is read
+        gevent.sleep(0.05)  # clients read what the kernel still buffers
 
 
 def run_scripts(folder: Path, scripts: Iterable[tuple[int, str]]) -> list[list[str]]:
-    """Runs scripts side by side, each a seed and a fault or none; returns the violations in each."""
+    """Runs scripts in parallel, each given by a seed and fault code; returns the violations of each."""
     running = [gevent.spawn(RandomScript(folder, *script).run) for script in scripts]
     gevent.joinall(running, timeout=60)
     return [script.get(block=False) for script in running]
--- a/tests/system/test_busy_address.py
+++ b/tests/system/test_busy_address.py
@@ -1,8 +1,8 @@
-"""A gateway or a control node whose address is taken at its start, by the process before it for one.
+"""A gateway or control node whose address is in use at its start, for example by its predecessor.
 
-What happened: it exited at once, with status 2 and one line, and stayed down until something restarted it. A
-front has retried for 20 s since issue 41; gateways and control nodes opened their listeners by themselves,
-with one bind. What showed it: one line on standard error, "Address already in use", 4 of 4 plays.
+The program exited at once with status 2 and the line "Address already in use" on standard error, in 4 of 4
+runs, and stayed down until it was restarted. A front has retried for 20 s since issue 41, but gateways and
+control nodes opened their listeners with their own code, which called bind only once.
 """
 
 import signal
@@ -15,12 +15,12 @@
 
 @pytest.fixture(params=[gateway, control_node], ids=lambda start: start.__name__)
 def program(request, tmp_path):
-    """A gateway or a control node, one of whose addresses is taken."""
+    """A gateway or a control node, one of whose addresses is in use."""
     with request.param(tmp_path, address_in_use=True) as started:
         yield started
 
 
-def test_a_program_waits_for_an_address_that_is_taken_at_its_start(program):
+def test_a_program_waits_for_an_address_that_is_in_use_at_its_start(program):
     wait_until(lambda: program.log.events(event="not_listening"), START_TIMEOUT_SECONDS, 0.01)
     assert not program.is_ready and program.process.poll() is None
     program.blocking_socket.close()
--- a/tests/system/test_failing_calls.py
+++ b/tests/system/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""A front whose system calls fail for now: no request, response or connection is lost."""
+"""Transient failures of a front's system calls lose no request, response or connection."""
 
 import errno
 import signal
@@ -13,9 +13,9 @@
 
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.EMFILE, errno.ENOBUFS, errno.EPROTO])
-def test_a_failing_accept_during_shutdown_loses_no_request(faulty, error):
-    """What waits behind a connection that failed was accepted by the system, and must be answered."""
-    front = faulty(*scripted_caches())
+def test_a_failing_accept_during_shutdown_loses_no_request(start_front, error):
+    """The kernel has accepted the connections queued behind a failed one; their requests need responses."""
+    front = start_front(*scripted_caches())
     front.process.send_signal(signal.SIGTERM)
     wait_until(lambda: front.events("stopping"), 5.0)
     gevent.sleep(0.2)
@@ -28,20 +28,20 @@
 
 
 @pytest.mark.parametrize("error", [errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENOBUFS])
-def test_a_front_starts_once_its_address_is_free(faulty, error):
-    """The one before it has not ended yet, or the system has no memory for the call just then."""
-    front = faulty(*scripted_caches(), faults={"bind_failures": 3, "bind_errno": error})
+def test_a_front_starts_once_its_address_is_free(start_front, error):
+    """Its predecessor has not exited yet, or the kernel has no memory for the bind at that moment."""
+    front = start_front(*scripted_caches(), faults={"bind_failures": 3, "bind_errno": error})
     assert front.send_page_request(front.connect_client(), 5).status == "ok"
     assert [event["error"] for event in front.events("not_listening")] != []
 
 
-TRANSIENT = [errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN]
+TRANSIENT_ERRORS = [errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN]
 
 
-@pytest.mark.parametrize("error", TRANSIENT)
-def test_a_response_whose_write_failed_transiently_is_written_again(faulty, error):
-    """The system had no memory for it just then; the connection works as before."""
-    front = faulty(*scripted_caches())
+@pytest.mark.parametrize("error", TRANSIENT_ERRORS)
+def test_a_response_whose_write_failed_transiently_is_written_again(start_front, error):
+    """The kernel had no memory for the write at that moment, but the connection still works."""
+    front = start_front(*scripted_caches())
     for cache in front.caches:
         cache.script = [cache.hold]
     sock = front.connect()
@@ -56,9 +56,9 @@
     assert front.control.get("send_failures") == 0
 
 
-def test_an_attempt_of_which_no_byte_was_written_is_retried_at_once(faulty):
-    """It is not written later, when its client may have left and its deadline is too long."""
-    front = faulty(*scripted_caches())
+def test_an_attempt_of_which_no_byte_was_written_is_retried_at_once(start_front):
+    """It is not written later, when its client may have left and its deadline would be too long."""
+    front = start_front(*scripted_caches())
     front.open_idle_connections()
     front.control.set("send_errno", errno.EAGAIN)
     front.control.set("send_failures", 1)
@@ -69,10 +69,10 @@
     assert len(front.attempts(numbered_id(1))) == 1
 
 
-@pytest.mark.parametrize("error", TRANSIENT)
-def test_a_read_that_failed_transiently_loses_no_request(faulty, error):
-    """Of a client, of a cache, or of discovery: whichever read fails, what came is read by a later one."""
-    front = faulty(*scripted_caches())
+@pytest.mark.parametrize("error", TRANSIENT_ERRORS)
+def test_a_read_that_failed_transiently_loses_no_request(start_front, error):
+    """After a failed read from a client, a cache or discovery, a later read returns the data."""
+    front = start_front(*scripted_caches())
     front.open_idle_connections()
     for cache in front.caches:
         cache.script = [cache.hold]
@@ -89,13 +89,13 @@
         front.caches[0].respond(attempt)
     received = b""
     while received.count(b"*4\r\n") < 2:
-        received += sock.recv(1 << 16) or pytest.fail(f"closed after {received!r}")
+        received += sock.recv(1 << 16) or pytest.fail(f"connection closed after {received!r}")
     assert received.count(b"\r\n$2\r\nok\r\n") == 2
 
 
-def test_a_socket_option_that_cannot_be_set_loses_no_connection(faulty):
-    """Waiting for larger segments costs time, and no request."""
-    front = faulty(*scripted_caches())
+def test_a_socket_option_that_cannot_be_set_loses_no_connection(start_front):
+    """Without TCP_NODELAY data may be delayed, but no request is lost."""
+    front = start_front(*scripted_caches())
     front.control.set("setsockopt_failures", 1)
     sock = front.connect()
     sock.sendall(front.request(7, numbered_id(1), 5))
--- a/tests/system/test_no_request_unanswered.py
+++ b/tests/system/test_no_request_unanswered.py
@@ -1,6 +1,6 @@
-"""No exception ends a request without its response, and none ends another request.
+"""An exception during a request neither prevents its response nor ends another request.
 
-An exception is raised in each call between the reading of a request and the writing of its response.
+The tests raise an exception in each call between the read of a request and the write of its response.
 """
 
 import gevent
@@ -17,11 +17,11 @@
 from tests.harness.waiting import wait_until
 
 OTHER_ID = "0000000000000008"
-FAILED = resp_array(b"7", b"fault", b"", b"")
+FAULT_RESPONSE = resp_array(b"7", b"fault", b"", b"")
 
 
 def fail_once(call):
-    """The same call, which raises an exception the first time."""
+    """Wraps a function so that its first call raises an exception."""
     failures = [ZeroDivisionError()]
 
     def fail_or_call(*arguments, **named):
@@ -33,16 +33,16 @@
 
 
 def exception_count(front):
-    """How many exceptions were caught."""
+    """The number of exceptions that the front has caught and counted."""
     return sum(count for name, count in front.counters.counts.items() if name.startswith("exception."))
 
 
 def read_responses(sock, count):
-    """The bytes of so many responses."""
+    """Reads `count` responses, and returns their bytes."""
     received = b""
     with gevent.Timeout(2):
         while received.count(b"*4\r\n") < count:
-            received += sock.recv(4096) or pytest.fail(f"closed after {received!r}")
+            received += sock.recv(4096) or pytest.fail(f"connection closed after {received!r}")
     return received
 
 
@@ -66,22 +66,22 @@
 
 
 @pytest.mark.parametrize("call", CALLS)
-def test_an_exception_in_any_call_ends_its_own_request_alone_with_a_response(front, monkeypatch, call):
+def test_an_exception_in_any_call_ends_only_its_own_request_with_a_response(front, monkeypatch, call):
     sock = front.connect_client()
-    sock.sendall(front.request(8, OTHER_ID))  # another request of the same connection, in flight at its cache
+    sock.sendall(front.request(8, OTHER_ID))  # another request on the same connection, in flight at the cache
     front.cache.wait_for_lines(1)
     owner, name = CALLS[call](front)
     monkeypatch.setattr(owner, name, fail_once(getattr(owner, name)))
     sock.sendall(front.request(7))
     wait_until(lambda: len(front.cache.lines) == 2 or exception_count(front))
-    # That of the request with the exception first: so the exception is its own.
+    # Responds to the request under test first, so that the exception occurs in that request.
     lines = list(zip(front.cache.lines, front.cache.line_sockets, strict=True))
     for line, cache in sorted(lines, key=lambda line_and_socket: OTHER_ID in line_and_socket[0]):
         cache.sendall(with_entity_fields(line.split()[1].encode() + b" HIT - 1\r\nx\r\n"))
         wait_until(lambda: exception_count(front))
     received = read_responses(sock, 2)
     assert resp_array(b"8", b"ok", b"", b"x") in received
-    assert FAILED in received or resp_array(b"7", b"ok", b"", b"x") in received
+    assert FAULT_RESPONSE in received or resp_array(b"7", b"ok", b"", b"x") in received
     wait_until(
         lambda: (
             not len(front.policy_driver.open_requests)
--- a/tests/system/test_random_script.py
+++ b/tests/system/test_random_script.py
@@ -1,4 +1,4 @@
-"""Whatever happens to a front, each request gets its one response; and the checker finds what is wrong."""
+"""A front under random events gives one response to each request; the checker detects each violation."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 FAULTS = {
-    "a second answer": """
+    "a second response": """
 from marbleglade.transport import response_encoder
 encode = response_encoder.encode_response
 def encode_twice(tag, *arguments):
@@ -37,7 +37,7 @@
 ConnectionPool.take_idle = lambda self, *arguments: None
 ConnectionPool.acquire = lambda self, *arguments: (gevent.sleep(0.45), acquire(self, *arguments))[1]
 """,
-    "after its cache was to drain": """
+    "after the drain of its cache": """
 from marbleglade.model.upstream import UpstreamState
 from marbleglade.state.upstream_registry import UpstreamRegistry
 apply = UpstreamRegistry.apply
@@ -47,17 +47,17 @@
     return apply(self, change, *more)
 UpstreamRegistry.apply = apply_as_active
 """,
-    "no answer": """
+    "no response": """
 from marbleglade.runtime.shutdown import GracefulShutdown
 GracefulShutdown.may_exit = lambda self, now, pending_responses: bool(self.requested_at)
 """,
-    "from before a purge": """
+    "issued before a purge": """
 from marbleglade.policy.cache_age import CacheAgeLimit
 from marbleglade.state.local_cache import LocalCache
 LocalCache.purge = lambda self, *arguments: None
 CacheAgeLimit.age_limit = lambda self, *arguments: 0
 """,
-    "an effect twice": """
+    "a second effect": """
 from marbleglade.protocols.cache_protocol import UpstreamRequest
 encode = UpstreamRequest.encode
 UpstreamRequest.encode = lambda self: encode(self) * 2
@@ -66,10 +66,10 @@
 
 
 def test_the_checker_finds_each_seeded_fault(tmp_path):
-    """A client has to leave within 0.15 s of its request for one of them: that one is run three times."""
+    """One fault shows only if a client leaves within 0.15 s of its request, so it runs with three seeds."""
     seeds = {fault: [20 + number] for number, fault in enumerate(FAULTS)}
     seeds["after its client left"] += [41, 42]
-    scripts = [(fault, seed) for fault, several in seeds.items() for seed in several]
+    scripts = [(fault, seed) for fault, fault_seeds in seeds.items() for seed in fault_seeds]
     results = run_scripts(tmp_path, [(seed, FAULTS[fault]) for fault, seed in scripts])
     found = {fault: [] for fault in FAULTS}
     for (fault, _), violations in zip(scripts, results, strict=True):
@@ -89,18 +89,18 @@
 @pytest.mark.parametrize(
     "events, violation",
     [
-        ([], "no answer"),
-        ([response(1.1, "ok", b"x")], "no cache gave"),
-        ([response(1.1, "full"), response(1.2, "full")], "second"),
-        ([response(1.1, "full", tag=8)], "no client sent"),
+        ([], "no response"),
+        ([response(1.1, "ok", b"x")], "no cache sent"),
+        ([response(1.1, "full"), response(1.2, "full")], "second response"),
+        ([response(1.1, "full", tag=8)], "response to an unknown request"),
         ([response(1.9, "full")], "after 0.90"),
         ([ClientLeft(1.1, "t"), AttemptReceived(1.5, "s1", "t")], "0.40 s after its client"),
-        ([DrainAnnounced(1.0, "s1"), AttemptReceived(1.4, "s1", "t")], "0.40 s after its cache"),
-        ([AttemptReceived(1.0, "s1", "t"), AttemptReceived(1.1, "s2", "t")], "effect twice"),
+        ([DrainAnnounced(1.0, "s1"), AttemptReceived(1.4, "s1", "t")], "0.40 s after the drain of its cache"),
+        ([AttemptReceived(1.0, "s1", "t"), AttemptReceived(1.1, "s2", "t")], "second effect"),
         ([AttemptReceived(1.0, "s1", "t"), response(1.1, "full")], "may have run"),
         ([PurgeAnnounced(0.6, 600), response(1.1, "ok", object_body("9", 599))], "before a purge"),
-        ([response(1.1, "ok", object_body("8", 599))], "no cache gave"),
-        ([AttemptReceived(1.0, "s1", "u")], "no client sent"),
+        ([response(1.1, "ok", object_body("8", 599))], "no cache sent"),
+        ([AttemptReceived(1.0, "s1", "u")], "attempt for an unknown request"),
     ],
 )
 def test_the_checker_names_each_violation_in_a_record(events, violation):
--- a/tests/system/test_signals.py
+++ b/tests/system/test_signals.py
@@ -1,13 +1,13 @@
-"""What each signal does to a front, a gateway and a control node, from their first statement to their last.
+"""The effect of signals on a front, a gateway and a control node, from start-up to exit.
 
-What happens: a signal that arrived while the program ended had its default action, which killed the process
-(-1, -10, -15 where 0 is due) and cut off what it still had to write; a supervisor counted a crash. A gateway
-in service ended at SIGHUP, a control node at SIGHUP and SIGUSR1.
+A signal that arrived while a program was exiting had its default action: it killed the process, with exit
+code -1, -10 or -15 instead of 0, and cut off unwritten output, so that a supervisor counted a crash. Also, a
+gateway in service ended at SIGHUP, and a control node at SIGHUP and SIGUSR1.
 
-Why: the handlers are watchers of the event loop, which restores the default action as it is torn down, and
-Python restores that of its own handlers in its finalization. What showed it: an idle process, SIGTERM, then
-the signal each 2 ms until it has ended; -1, -2, -10, -12 or -15 for each signal but SIGTERM at gateways and
-control nodes and SIGUSR1 at gateways, which came through by chance.
+The handlers are watchers of the event loop, which restores the default action when it is destroyed, and
+Python restores that of its own handlers during finalization. To reproduce the fault, an idle process received
+SIGTERM and then a signal every 2 ms until it had ended. Its exit code was -1, -2, -10, -12 or -15 for each
+signal, except for SIGTERM at gateways and control nodes and SIGUSR1 at gateways, which passed by chance.
 """
 
 import signal
@@ -32,7 +32,7 @@
 
 @pytest.fixture(params=[front, gateway, control_node], ids=lambda start: start.__name__)
 def program(request, tmp_path):
-    """A front, a gateway or a control node; it may be starting still."""
+    """A front, a gateway or a control node, which may still be starting."""
     with request.param(tmp_path) as started:
         yield started
 
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("number", OTHER_SIGNALS)
 def test_a_signal_while_a_program_starts_does_not_end_it(program, number):
-    wait_until(lambda: program.catches(number), START_TIMEOUT_SECONDS, 0)  # Python itself takes 20 ms to load
+    wait_until(lambda: program.has_handler(number), START_TIMEOUT_SECONDS, 0)  # Python takes 20 ms to load
     assert not program.is_ready
     program.send_until(number, lambda: program.is_ready, START_TIMEOUT_SECONDS)
     assert program.process.poll() is None
--- a/tests/system/test_slow_start_of_caches.py
+++ b/tests/system/test_slow_start_of_caches.py
@@ -1,4 +1,4 @@
-"""Cold caches under the sum of all fronts: real processes on loopback, before stand-in caches that count."""
+"""Slow start of cold caches under the total load of all fronts: real front processes, stand-in caches."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 FRONTS = int(os.environ.get("MARBLEGLADE_COLD_FRONTS", "20"))
 ONE_THIRD = range(FRONTS // 3)
 CACHES = 5
-REQUEST_RATE = 10.0  # a second at each front, before the burst
+REQUEST_RATE = 10.0  # per second at each front, before the burst
 BURST_FACTOR = 1.5
 OBJECT_COUNT = 3000
-SERVICE_SECONDS = 0.04  # that a cache takes for one request
-SETTLE_SECONDS = 2.5  # in which the caches fill and each front sees its own demand
-OBSERVED_SECONDS = 2.5  # soon after, a whole part of the load is no more than the ramp allows
-START_SECONDS = 60.0  # on a machine that is busy with other things
-FIRST_REQUEST_SECONDS = 15.0  # in which the first request reaches a cold cache
-# A warm cache is held to be fully used by its part of the burst: no cache does less, so N is no larger.
+SERVICE_SECONDS = 0.04  # service time of a cache for one request
+SETTLE_SECONDS = 2.5  # time in which caches fill and each front measures its own demand
+OBSERVED_SECONDS = 2.5  # soon afterwards, the ramp allows a cache's full share of the load
+START_SECONDS = 60.0  # time limit for the start, even on a busy machine
+FIRST_REQUEST_SECONDS = 15.0  # time limit for the first request to a cold cache
+# Assumes that its share of the burst fully loads a warm cache. No cache has less capacity, so N is minimal.
 BUDGET = WarmUpBudget(
     share=0.08,
     warm_after=16.0,
@@ -37,7 +37,7 @@
 
 
 class SlowStartFleet:
-    """The fronts, their clients, and the cold starts that the test brings about."""
+    """The fronts, their clients, and the cold starts that a test triggers."""
 
     def __init__(self, folder, seed: int, messages: bool) -> None:
         self.fleet = FrontFleet(
@@ -54,43 +54,43 @@
         try:
             self.fleet.wait_until_ready(START_SECONDS)
         except BaseException:
-            self.fleet.close()  # no process outlives a test that could not begin
+            self.fleet.close()  # leaves no process behind if the test cannot start
             raise
         self.load = PageLoad(self.fleet, seed, REQUEST_RATE, OBJECT_COUNT)
         gevent.sleep(SETTLE_SECONDS)
 
     def restart_empty(self, cache: StandInUpstream) -> float:
-        """Restarts a cache with nothing cached, and announces it to every front; returns when that was."""
+        """Restarts a cache empty, and announces it to all fronts; returns the time of the restart."""
         restarted_at = time.monotonic()
         cache.restart()
         self.announce(cache)
         return restarted_at
 
     def add_cache(self) -> tuple[StandInUpstream, float]:
-        """Announces a cache that no front knew; returns it, and when that was."""
+        """Adds a new cache and announces it to all fronts; returns it and the time of the announcement."""
         cache = self.fleet.add_cache()
         cache.service_seconds = SERVICE_SECONDS
         self.announce(cache)
         return cache, time.monotonic()
 
     def announce(self, cache: StandInUpstream) -> None:
-        """All discovery services send that a cache has just started."""
+        """Announces at all discovery services that a cache has just started."""
         for service in self.fleet.discovery_services:
             service.announce([(cache, "box")], started_ms=cache.started_ms())
 
     def burst(self, without: range = range(0)) -> None:
-        """Half as many requests again, over all; clients of the fronts that are down use the others."""
+        """Raises the total request rate by half; clients of the fronts in `without` use the other fronts."""
         serving = FRONTS - len(without)
         for number, stream in enumerate(self.load.streams):
             stream.down = number in without
             stream.rate_factor = BURST_FACTOR * FRONTS / serving
 
     def early_object(self, cache: StandInUpstream) -> int:
-        """An object that is requested from that cache from its first moments on."""
+        """An object that is requested from a cache right from the beginning of its slow start."""
         return early_page_object(cache.id, [one.id for one in self.fleet.caches], BUDGET.share / 2)
 
     def assert_not_overloaded(self, cache: StandInUpstream, started_at: float) -> None:
-        """In no window the cache received more than it bears, and it did receive requests."""
+        """Asserts that a cache received requests, and in no window more than its limit."""
         wait_until(
             lambda: any(requested_at >= started_at for requested_at in cache.request_times),
             FIRST_REQUEST_SECONDS,
@@ -99,7 +99,7 @@
         assert peak.share <= 1.0, (cache.id, peak)
 
     def close(self) -> None:
-        """Ends all, and asserts what holds of every front."""
+        """Stops the load and the fleet, and asserts that neither reports a fault."""
         faults = self.load.finish()
         errors = self.fleet.close()
         assert not errors and not faults, (errors, faults)
@@ -107,7 +107,7 @@
 
 @pytest.fixture(scope="module")
 def fleet_without_messages(tmp_path_factory):
-    """Fronts that may send one another nothing."""
+    """Fronts that send no messages to one another."""
     fleet = SlowStartFleet(tmp_path_factory.mktemp("silent"), 41, messages=False)
     yield fleet
     fleet.close()
--- a/tests/system/test_stalled_front.py
+++ b/tests/system/test_stalled_front.py
@@ -1,6 +1,7 @@
-"""A front that is stalled: its process has no turn on its core, and its clients and caches go on meanwhile.
+"""A stalled front: its process gets no CPU time while its clients and caches continue.
 
-What ends or forbids work and has reached the machine counts from then on, whenever the front gets its turn.
+An event that ends or forbids work, such as a close or a drain, applies from its arrival at the machine, no
+matter when the front can read it.
 """
 
 import signal
@@ -20,21 +21,21 @@
 from tests.harness.settings import NO_SERVICE, endpoint_entry
 from tests.harness.waiting import wait_until
 
-GRACE_SECONDS = 0.1  # after a client's end, or after a drain was announced, from which on nothing may begin
-DEADLINE_SLACK_MS = 150  # that the deadline sent to a cache may be over what the client has left
+GRACE_SECONDS = 0.1  # after a client has left or a drain was announced; no attempt may start later
+DEADLINE_SLACK_MS = 150  # by which a deadline sent to a cache may exceed the client's remaining time
 STALL_SECONDS = 0.4
 CLIENTS = 6
-LEAVE = {
+LEAVE_ACTIONS = {
     "close": lambda sock, _tag: sock.close(),
     "reset": lambda sock, _tag: reset(sock),
     "half close": lambda sock, _tag: sock.shutdown(socket.SHUT_WR),
     "cancel": lambda sock, tag: sock.sendall(resp_array(b"NEVERMIND", b"%d" % tag)),
 }
-WAYS = list(LEAVE.values())
+LEAVE_FUNCTIONS = list(LEAVE_ACTIONS.values())
 
 
 def late_attempts(front: FaultyFront, left: dict[str, float]) -> list[float]:
-    """Seconds after its client had left at which each attempt came that no longer may."""
+    """Seconds from the departure of a client to each attempt that came after the grace time."""
     delays = [
         attempt.received_at - left_at
         for request_id, left_at in left.items()
@@ -43,10 +44,10 @@
     return [delay for delay in delays if delay > GRACE_SECONDS]
 
 
-@pytest.mark.parametrize("way", LEAVE)
-def test_no_retry_for_a_client_that_left_while_the_front_was_stalled(faulty, way):
-    """The poll brings a rejection; then the front is stalled, and its client leaves."""
-    front = faulty(*scripted_caches())
+@pytest.mark.parametrize("way", LEAVE_ACTIONS)
+def test_no_retry_for_a_client_that_left_while_the_front_was_stalled(start_front, way):
+    """A poll returns a cache's rejection; then the front stalls, and the client leaves."""
+    front = start_front(*scripted_caches())
     front.open_idle_connections(4)
     for cache in front.caches:
         cache.script = [cache.hold] * 100
@@ -54,32 +55,32 @@
     sock.sendall(front.request(7, request_id, 5))
     wait_until(lambda: front.attempts(request_id), 5.0)
     with front.stalled_after_poll(lambda: front.reject_attempt(request_id)):
-        LEAVE[way](sock, 7)
+        LEAVE_ACTIONS[way](sock, 7)
         left_at = time.monotonic()
         gevent.sleep(STALL_SECONDS)
     gevent.sleep(STALL_SECONDS)
     assert late_attempts(front, {request_id: left_at}) == []
 
 
-@pytest.mark.parametrize("way", LEAVE)
-def test_no_attempt_for_a_request_whose_client_left_before_it_was_read(faulty, way):
-    """The poll brings a request; its client leaves before the front has read it."""
-    front = faulty(*scripted_caches())
+@pytest.mark.parametrize("way", LEAVE_ACTIONS)
+def test_no_attempt_for_a_request_whose_client_left_before_it_was_read(start_front, way):
+    """A poll returns a request; then the front stalls, and the client leaves before the request is read."""
+    front = start_front(*scripted_caches())
     front.open_idle_connections(4)
     sock, request_id = front.connect(), numbered_id(1)
     sock.sendall(resp_array(b"STATUS", b"1", b""))
     sock.recv(100)
     with front.stalled_after_poll(lambda: sock.sendall(front.request(7, request_id, 5))):
-        LEAVE[way](sock, 7)
+        LEAVE_ACTIONS[way](sock, 7)
         left_at = time.monotonic()
         gevent.sleep(STALL_SECONDS)
     gevent.sleep(STALL_SECONDS)
     assert late_attempts(front, {request_id: left_at}) == []
 
 
-def test_no_attempt_for_clients_that_left_while_the_front_was_stopped(faulty):
-    """As above by SIGSTOP: responses, ends and cancels come in any order while the process is stopped."""
-    front = faulty(*scripted_caches())
+def test_no_attempt_for_clients_that_left_while_the_front_was_stopped(start_front):
+    """Rejections, closes and cancels arrive in any order while the process is stopped by SIGSTOP."""
+    front = start_front(*scripted_caches())
     front.open_idle_connections(2 * CLIENTS)
     for cache in front.caches:
         cache.script = [cache.hold] * 100
@@ -95,7 +96,7 @@
             for number, (sock, request_id) in enumerate(zip(socks, request_ids, strict=True)):
                 order = [
                     lambda t=request_id: front.reject_attempt(t),
-                    lambda s=sock, n=number: WAYS[n % 4](s, 7),
+                    lambda s=sock, n=number: LEAVE_FUNCTIONS[n % 4](s, 7),
                 ]
                 for act in order if (number + round_) % 2 else reversed(order):
                     act()
@@ -108,7 +109,7 @@
 
 
 def excess_deadlines(front: FaultyFront, sent: dict[str, float]) -> list[float]:
-    """By how many ms each deadline sent to a cache is over what the client has left, where it is too much."""
+    """Excess in ms of deadlines sent to caches over the client's remaining time, if above the slack."""
     found = []
     for request_id, sent_at in sent.items():
         for attempt in front.attempts(request_id):
@@ -119,9 +120,9 @@
 
 
 @pytest.mark.parametrize("connection", ["open", "new"])
-def test_the_deadline_sent_to_a_cache_counts_from_the_arrival_of_the_request(faulty, connection):
-    """Requests that come while the process is stopped have less time left than when they are read."""
-    front, sent = faulty(*scripted_caches()), {}
+def test_the_deadline_sent_to_a_cache_counts_from_the_arrival_of_the_request(start_front, connection):
+    """The time in which the process is stopped counts as part of the timeout of a request."""
+    front, sent = start_front(*scripted_caches()), {}
     socks = [front.connect() for _ in range(CLIENTS)]
     for sock in socks:
         sock.sendall(resp_array(b"STATUS", b"1", b""))
@@ -137,9 +138,9 @@
     assert excess_deadlines(front, sent) == []
 
 
-def test_the_deadline_of_a_request_behind_a_flood_counts_from_its_arrival(faulty):
-    """A connection on which far more lies than one read brings is not empty for as long as that takes."""
-    front, request_id = faulty(*scripted_caches()), numbered_id(1)
+def test_the_deadline_of_a_request_behind_a_flood_counts_from_its_arrival(start_front):
+    """While a connection holds more unread data than one read returns, it does not count as empty."""
+    front, request_id = start_front(*scripted_caches()), numbered_id(1)
     sock = front.connect()
     flood = resp_array(b"NEVERMIND", b"99") * 12_000
     gevent.spawn(sock.sendall, flood)
@@ -151,27 +152,27 @@
     assert excess_deadlines(front, {request_id: sent_at}) == []
 
 
-def test_an_idle_front_takes_no_time_off_a_request(faulty):
-    """A front that has its core takes next to nothing off a request that comes after a rest."""
-    front, sent = faulty(*scripted_caches()), {}
+def test_an_idle_front_subtracts_no_time_from_a_request(start_front):
+    """A front with CPU time subtracts almost nothing from the timeout of a request after a pause."""
+    front, sent = start_front(*scripted_caches()), {}
     sock = front.connect()
     for number in range(1, 11):
         gevent.sleep(0.3)
         sent[numbered_id(number)] = time.monotonic()
         sock.sendall(front.request(number, numbered_id(number), number))
         sock.recv(1 << 16)
-    spans = [
+    deductions_ms = [
         front.REQUEST_TIMEOUT_MS - (attempt.received_at - sent_at) * 1000 - attempt.request.timeout_ms
         for request_id, sent_at in sent.items()
         for attempt in front.attempts(request_id)
     ]
-    assert excess_deadlines(front, sent) == [] and sorted(spans)[len(spans) // 2] < 5.0
+    assert excess_deadlines(front, sent) == [] and sorted(deductions_ms)[len(deductions_ms) // 2] < 5.0
 
 
-def test_a_drain_announced_while_the_front_was_stalled_is_kept(faulty):
-    """The poll brings a request; the drain of its cache is announced before the front has read it."""
+def test_a_drain_announced_while_the_front_was_stalled_is_kept(start_front):
+    """A poll returns a request; the drain of its cache is announced before the front reads the request."""
     draining, other = scripted_caches()
-    front = faulty(draining, other)
+    front = start_front(draining, other)
     front.open_idle_connections(4)
     sock, request_id = front.connect(), numbered_id(1)
     request = front.request(7, request_id, object_ranked(draining.name, other.name))
@@ -184,14 +185,16 @@
     assert not draining.attempts_for(request_id)
 
 
-def test_a_drain_sent_by_control_nodes_while_the_front_was_stalled_is_kept(faulty, tmp_path):
-    """As above, where the front follows control nodes instead of discovery."""
+def test_a_drain_sent_by_control_nodes_while_the_front_was_stalled_is_applied(start_front, tmp_path):
+    """The same as the test above, with control nodes instead of the discovery service."""
     draining, other = scripted_caches()
     nodes = [StandInControlNode(name, "d", f"s-{name}") for name in ("c1", "c2")]
     addresses = {node.name: (node.address, free_address()) for node in nodes}
     settings = control_settings(NO_SERVICE, "n1", addresses)
     (tmp_path / "control.textproto").write_text(settings)
-    front = faulty(draining, other, environment={"MARBLEGLADE_CONTROL": str(tmp_path / "control.textproto")})
+    front = start_front(
+        draining, other, environment={"MARBLEGLADE_CONTROL": str(tmp_path / "control.textproto")}
+    )
     for node in nodes:
         node.announce([endpoint_entry(cache.name, cache.address) for cache in front.caches], full_list=True)
     wait_until(lambda: all(node["current"] for node in front.counters_event()["control"]["nodes"]), 10.0, 0.1)
@@ -210,20 +213,20 @@
         node.close()
 
 
-KILLED_AFTER_SECONDS = 3.7  # after SIGTERM: the longest deadline that counts, 3 s, and 0.7 s
+KILLED_AFTER_SECONDS = 3.7  # after SIGTERM: the longest deadline that is honored, 3 s, plus 0.7 s
 
 
 @pytest.mark.parametrize("stopped_after", [0.0, KILLED_AFTER_SECONDS - STALL_SECONDS])
-def test_a_front_that_receives_sigterm_while_stalled_responds_before_it_is_killed(faulty, stopped_after):
-    """Every cache hangs; the process is stopped as SIGTERM comes, or shortly before it would be killed."""
-    front = faulty(*scripted_caches())
+def test_a_front_that_receives_sigterm_while_stalled_responds_before_it_is_killed(start_front, stopped_after):
+    """No cache responds; the process is stopped as SIGTERM arrives, or shortly before it would be killed."""
+    front = start_front(*scripted_caches())
     for cache in front.caches:
         cache.script = [cache.hold] * 100
     sock = front.connect()
     for number in range(1, 5):
         sock.sendall(front.request(number, numbered_id(number), number, 15_000))
     wait_until(lambda: all(front.attempts(numbered_id(number)) for number in range(1, 5)), 5.0)
-    if stopped_after:  # it has had too little of its core before
+    if stopped_after:  # the process has already had too little CPU time
         for _ in range(3):
             with front.stopped(STALL_SECONDS):
                 pass
--- a/tests/system/test_time_limits.py
+++ b/tests/system/test_time_limits.py
@@ -1,7 +1,7 @@
-"""Time limits that pass while a process is stalled: what has come by then counts, and no cache is blamed.
+"""Time limits that expire while a process is stalled: data that arrived in time counts, no cache is blamed.
 
-After a stop the event loop runs what is due before it reads what came, and it reads nothing at all in the
-turn in which the stop has cut its poll short.
+After a stop, the event loop runs expired timers before it reads received data. In the iteration whose poll
+was interrupted by the stop, it reads nothing at all.
 """
 
 from __future__ import annotations
@@ -27,18 +27,18 @@
 
 STALL_SECONDS = 0.4
 REQUESTS = 6
-MANY = 32  # requests whose responses, of the greatest size, are more than the system's buffers take
+MANY_REQUESTS = 32  # requests whose responses, of maximum size, exceed the kernel's buffers
 TIMEOUT_MS = 2000
-AHEAD_SECONDS = 0.25  # before the end of their time, at which requests are given to a test
-FIRST_OBJECT = 1 << 20  # none of those that were requested before
+REMAINING_SECONDS = 0.25  # of their timeout that requests have left when `send_requests` returns
+FIRST_OBJECT = 1 << 20  # greater than the id of any object requested before
 
 
 def read_responses(sock: socket.socket, count: int) -> dict[int, tuple[bytes, bytes]]:
-    """So many responses by their tags: status and body. Fails where the connection ends before."""
+    """Reads `count` responses; returns status and body by tag. Fails if the connection is closed earlier."""
     buffer, found = b"", {}
     while len(found) < count:
         data = sock.recv(1 << 20)
-        assert data, f"closed after the responses to {sorted(found)}"
+        assert data, f"connection closed after the responses to tags {sorted(found)}"
         buffer += data
         while (cut := cut_response(buffer)) is not None:
             parts, buffer = cut
@@ -47,16 +47,16 @@
 
 
 def respond(front: FaultyFront, attempt: ReceivedAttempt, size: int) -> None:
-    """The cache responds to an attempt with a body of that size."""
+    """Responds to an attempt with a body of `size` bytes."""
     front.caches[0].respond(attempt, b"x" * size)
 
 
 def send_requests(
-    front: FaultyFront, timeout_ms: int, count: int = REQUESTS, ahead: float = AHEAD_SECONDS
+    front: FaultyFront, timeout_ms: int, count: int = REQUESTS, remaining: float = REMAINING_SECONDS
 ) -> tuple[socket.socket, list[ReceivedAttempt]]:
-    """Sends requests of one client; returns its connection and their attempts, which wait for responses.
+    """Sends requests of one client; returns its connection and their attempts, which have no response yet.
 
-    Those with the usual time limit have waited until `ahead` seconds before it is over.
+    With the timeout TIMEOUT_MS, it returns when `remaining` seconds of the timeout are left.
     """
     front.open_idle_connections(min(count, REQUESTS))
     for cache in front.caches:
@@ -70,14 +70,14 @@
         wait_until(lambda number=number: front.attempts(numbered_id(number)), 5.0)
         found += front.attempts(numbered_id(number))
     if timeout_ms == TIMEOUT_MS:
-        gevent.sleep(max(0.0, sent_at + TIMEOUT_MS / 1000 - ahead - time.monotonic()))
+        gevent.sleep(max(0.0, sent_at + TIMEOUT_MS / 1000 - remaining - time.monotonic()))
     return sock, found
 
 
-def test_a_response_that_came_in_time_is_served_though_its_time_passed_during_a_stop(faulty):
-    front = faulty(*scripted_caches())
+def test_a_response_that_came_in_time_is_served_though_its_time_passed_during_a_stop(start_front):
+    front = start_front(*scripted_caches())
     sock, waiting = send_requests(front, TIMEOUT_MS)
-    with front.stopped(STALL_SECONDS):  # their time passes meanwhile
+    with front.stopped(STALL_SECONDS):  # the timeouts expire meanwhile
         for attempt in waiting:
             respond(front, attempt, 50_000)
     assert {tag: status for tag, (status, _) in read_responses(sock, REQUESTS).items()} == dict.fromkeys(
@@ -85,9 +85,9 @@
     )
 
 
-def test_the_body_budget_of_responses_that_came_during_a_stall_is_released(faulty):
-    """The poll brings them; their time passes while it is stalled."""
-    front = faulty(*scripted_caches())
+def test_the_body_budget_of_responses_that_arrived_during_a_stall_is_released(start_front):
+    """A poll returns the responses; then the front stalls, and the timeouts expire."""
+    front = start_front(*scripted_caches())
     sock, waiting = send_requests(front, TIMEOUT_MS)
 
     def respond_to_all() -> None:
@@ -102,25 +102,27 @@
     assert body_budget["free"] == body_budget["size"]
 
 
-def test_responses_that_their_client_reads_are_not_cut_off_by_a_stop(faulty):
-    """More than the system's buffers take, and a client that reads all that while the front is stalled."""
-    front = faulty(*scripted_caches())
-    sock, waiting = send_requests(front, TIMEOUT_MS, MANY, 2 * AHEAD_SECONDS)
+def test_responses_that_their_client_reads_are_not_cut_off_by_a_stop(start_front):
+    """The responses exceed the kernel's buffers; the client reads all of them while the front is stopped."""
+    front = start_front(*scripted_caches())
+    sock, waiting = send_requests(front, TIMEOUT_MS, MANY_REQUESTS, 2 * REMAINING_SECONDS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)
     before = front.counter("answer.ok")
     for attempt in waiting:
         respond(front, attempt, MAX_BODY_BYTES)
-    # What the buffers take is written, and the rest waits for the client.
-    wait_until(lambda: front.counter("answer.ok") == before + MANY, 5.0)
-    with front.stopped(2 * AHEAD_SECONDS):
-        reading = gevent.spawn(read_responses, sock, MANY)
+    # The buffers are full, and the remaining data waits for the client to read.
+    wait_until(lambda: front.counter("answer.ok") == before + MANY_REQUESTS, 5.0)
+    with front.stopped(2 * REMAINING_SECONDS):
+        reading = gevent.spawn(read_responses, sock, MANY_REQUESTS)
     found = reading.get(timeout=5)
-    assert [len(body) for status, body in found.values() if status == b"ok"] == [MAX_BODY_BYTES] * MANY
+    assert [len(body) for status, body in found.values() if status == b"ok"] == [
+        MAX_BODY_BYTES
+    ] * MANY_REQUESTS
 
 
-def test_no_cache_is_blamed_for_responses_that_came_during_a_stop(faulty):
-    """Their latency objectives pass while the front is stalled, and all responses lie unread."""
-    front = faulty(*scripted_caches(3))
+def test_no_cache_is_blamed_for_responses_that_arrived_during_a_stop(start_front):
+    """The latency objectives expire while the front is stopped and all responses are unread."""
+    front = start_front(*scripted_caches(3))
     sock, waiting = send_requests(front, 4000)
     gevent.sleep(1.8)  # the latency objective is 2 s
     with front.stopped(0.5):
@@ -131,25 +133,25 @@
     assert front.counter("attempt.cancelled") == 0
 
 
-def test_a_connection_that_came_up_during_a_stop_is_used(faulty):
-    """The time for its coming up passes while the front is stalled."""
+def test_a_connection_that_came_up_during_a_stop_is_used(start_front):
+    """The connect timeout expires while the front is stopped."""
     cache = ScriptedCache("c1")
-    front = faulty(cache)
+    front = start_front(cache)
     cache.hold_connections()
     sock = front.connect()
     sock.sendall(front.request(7, numbered_id(1), 5))
     gevent.sleep(0.05)
-    with front.stopped(1.5):  # the system tries again after a second
+    with front.stopped(1.5):  # the kernel retransmits the SYN after a second
         cache.release_connections()
     assert read_responses(sock, 1)[7][0] == b"ok"
     assert front.counter("upstream.connect_failed") == 0
 
 
-# In one process.
+# Tests within the test process.
 
 
-def test_a_decision_that_comes_with_the_time_limit_is_executed(hosted_policy):
-    """One turn of the loop brings both."""
+def test_a_decision_made_as_the_time_limit_expires_is_executed(hosted_policy):
+    """One iteration of the event loop handles both."""
     driver, policy, clock = hosted_policy
     request = new_request(clock, 50)
     policy.on_request = lambda _request: None
@@ -165,13 +167,13 @@
     gevent.spawn(decide)
     gevent.sleep(0.01)
     other.send(b"x")
-    time.sleep(0.1)  # the limit has passed and the byte has come
+    time.sleep(0.1)  # the time limit expires, and the byte arrives
     assert decision.get(timeout=2) == Decision(RequestOutcome.REJECTED)
     assert not isinstance(decision.get(), AttemptOrder)
 
 
 def test_links_outlast_a_process_that_is_stalled(two_regions):
-    """For longer than the silence that ends a link: as it read nothing meanwhile, no peer was silent."""
+    """The stall exceeds the silence limit of a link, but no peer was silent, as the process read nothing."""
     client = two_regions.client()
     gevent.sleep(0.05)
     time.sleep(0.25)
@@ -182,13 +184,13 @@
 
 
 def test_a_connection_with_unread_bytes_at_the_cache_server_is_not_idle(two_regions):
-    """A client that writes after a long rest, while the gateway is stalled."""
+    """The client sends a request after a long pause, while the gateway is stalled."""
     gateway = two_regions.gateways["west-1"].components
     cache_client = CacheClient(("127.0.0.1", two_regions.west.ports["west-1"][1]))
     wait_until(lambda: gateway.cache_server.connections)
     gateway.cache_server.idle_timeout = 200_000_000
     requesting = gevent.spawn(cache_client.request, "menu-pages", f"{WEST | 4:016x}", 0, 1500)
-    gevent.sleep(0)  # written
+    gevent.sleep(0)  # the client writes its request
     time.sleep(0.3)
     gateway.cache_server.sweep()
     assert requesting.get().status == "HIT"
@@ -196,13 +198,13 @@
 
 
 def test_a_client_that_is_being_closed_is_read_before_it_is_closed(front):
-    """A close over unread bytes resets the connection, and takes with it what its client has not read yet."""
+    """A close with unread bytes resets the connection, and data that the client has not read yet is lost."""
     sock = front.connect_client()
     wait_until(lambda: front.client_listener.connections.open)
     (client,) = front.client_listener.connections.open
     front.client_listener.connections.close_all_gracefully()
     assert sock.recv(1) == b""
-    sock.sendall(b"x")  # crosses with the close
+    sock.sendall(b"x")  # sent while the front closes the connection
     time.sleep(GRACEFUL_CLOSE_TIMEOUT_NS / 1e9 + 0.05)
     front.client_listener.connections.sweep()
     assert not client.closed
@@ -211,9 +213,9 @@
     assert client.closed
 
 
-@pytest.mark.parametrize("name", ["placedoor", "connection"])
-def test_a_socket_option_that_cannot_be_set_closes_no_later_connection(two_regions, monkeypatch, name):
-    """Of the first connection of a cache's client, or of another gateway: all later ones are served."""
+@pytest.mark.parametrize("peer", ["cache client", "gateway"])
+def test_a_socket_option_that_cannot_be_set_closes_no_later_connection(two_regions, monkeypatch, peer):
+    """The option fails on the first connection, of a cache client or a gateway; all later ones are served."""
     left = [1]
     set_option = socket.socket.setsockopt
 
@@ -225,9 +227,9 @@
 
     ports = two_regions.west.ports["west-1"]
     monkeypatch.setattr(socket.socket, "setsockopt", fail_once)
-    if name == "connection":
-        for relay in two_regions.west.proxies.values():
-            relay.reset()
+    if peer == "gateway":
+        for proxy in two_regions.west.proxies.values():
+            proxy.reset()
         gevent.sleep(0.2)
     for _ in range(2):
         cache_client = CacheClient(("127.0.0.1", ports[1]))
--- a/tests/test_explained_logs.py
+++ b/tests/test_explained_logs.py
@@ -1,4 +1,4 @@
-"""The pages for operators explain each log event, counter and reason, and name none that does not exist."""
+"""The pages for operators explain each log event, counter and reason, and name no others."""
 
 import ast
 import re
@@ -13,9 +13,9 @@
 NAMES_OF_PAGES = ("on-call", "fleet", "work", "control", "control-front", "gateway")
 PAGES = [ROOT / "docs" / f"{name}.md" for name in NAMES_OF_PAGES]
 SOURCES = [path.read_text() for path in sorted((ROOT / "marbleglade").rglob("*.py"))]
-PLACEHOLDERS = {"RESULT", "REASON", "ERROR", "WHERE", "WHAT"}  # in the tables, for the end of a name
+PLACEHOLDERS = {"RESULT", "REASON", "ERROR", "WHERE", "WHAT"}  # in the tables, for the last part of a name
 RECEIVERS_OF_REASONS = (("give_up", "rejection"), ("reject_new", "driver"))
-# How a name reaches the log or the counters: method, end of its receiver, position of the name, prefix.
+# Calls that emit a name: method, suffix of its receiver, index of the name argument, prefix of the result.
 EMITTERS = [
     *((method, "log", 0, "event ") for method in ("info", "debug", "warning", "error")),
     ("log", "self", 0, "event "),
@@ -26,15 +26,15 @@
 ]
 
 
-def literals(node=None):
-    """The strings that an expression can be, as far as they stand in the code."""
+def string_literals(node=None):
+    """The string string_literals that an expression can evaluate to."""
     branches = [node.body, node.orelse] if isinstance(node, ast.IfExp) else [node]
     return {each.value for each in branches if isinstance(each, ast.Constant) and isinstance(each.value, str)}
 
 
-def emitted(tree):
-    """The literal names of events and counters: `event NAME` and `counter NAME`."""
-    # The method may also be passed on with its arguments, as in `spawn(guard.call, "name", ...)`.
+def emitted_names(tree):
+    """The literal names that code emits, as `event NAME`, `counter NAME` or `reason NAME`."""
+    # The method may also be passed as an argument, as in `spawn(guard.call, "name", ...)`.
     return {
         prefix + name
         for call in ast.walk(tree)
@@ -43,7 +43,7 @@
         for method, receiver, index, prefix in EMITTERS
         if isinstance(target, ast.Attribute) and target.attr == method
         if ast.unparse(target.value).endswith(receiver)
-        for name in literals(*call.args[position + index :][:1])
+        for name in string_literals(*call.args[position + index :][:1])
     }
 
 
@@ -54,15 +54,15 @@
     if isinstance(kind, type) and issubclass(kind, Enum)
     for member in kind
 }
-NAMES = POLICY_REASONS.union(*(emitted(ast.parse(source)) for source in SOURCES))
-# What a name that is put together ends with, by how the code writes it; the last kind is any string.
-ENDINGS = {
+EMITTED_NAMES = POLICY_REASONS.union(*(emitted_names(ast.parse(source)) for source in SOURCES))
+# Last parts of composed names by the expression that yields them; the last entry is any string literal.
+NAME_ENDINGS = {
     ".name.lower()": {node.id.lower() for node in NODES if isinstance(node, ast.Name) and node.id.isupper()},
     ".__name__": {node.name for node in NODES if isinstance(node, ast.ClassDef)},
     "": {str(node.value).partition(":")[0] for node in NODES if isinstance(node, ast.Constant)},
 }
-PREFIXES = {  # of names that are put together, with the kind of their endings
-    ("counter " + match[0], next(kind for kind in ENDINGS if kind in ast.unparse(node)))
+NAME_PREFIXES = {  # first parts of composed names, with the key of their last parts in NAME_ENDINGS
+    ("counter " + match[0], next(kind for kind in NAME_ENDINGS if kind in ast.unparse(node)))
     for node in NODES
     if isinstance(node, ast.JoinedStr) and isinstance(node.values[0], ast.Constant)
     if (match := re.fullmatch(r"[a-z_]+\.(\w+\.|\w+_)?", str(node.values[0].value)))
@@ -70,7 +70,7 @@
 
 
 def first_cells(text, title):
-    """Yield the first cells of the tables whose first column has this title."""
+    """Yield the first cells of all tables whose first column has a given title."""
     head = ""
     for line in text.splitlines():
         cell = re.split(r"(?<!\\)\|", line)[1].strip() if line.startswith("|") else ""
@@ -79,8 +79,8 @@
             yield cell
 
 
-def spans(cell):
-    """Yield the names in a cell; `.name` has the family of the name before it."""
+def names_in_cell(cell):
+    """Yield the names in a cell; `.name` gets the prefix of the name before it."""
     family = ""
     for span in re.findall(r"`([^`]+)`", cell):
         full = family + span if span.startswith(".") else span
@@ -88,41 +88,47 @@
         yield full
 
 
-def explained(text):
-    """What the tables of events and counters name, as `emitted` does."""
+def explained_names(text):
+    """The names in the tables of events, counters and reasons, in the format of `emitted_names`."""
     kinds = [(kind, cell) for kind in ("event", "counter", "reason") for cell in first_cells(text, kind)]
-    return {f"{kind} {name}" for kind, cell in kinds for name in spans(cell)}
+    return {f"{kind} {name}" for kind, cell in kinds for name in names_in_cell(cell)}
 
 
-def exists(name):
-    """Whether the code has this event or counter, or can put its name together."""
-    endings = [(name.removeprefix(start), kind) for start, kind in PREFIXES if name.startswith(start)]
-    return name in NAMES or any(ending in ENDINGS[kind] | PLACEHOLDERS for ending, kind in endings)
+def name_exists(name):
+    """Whether the code emits a name literally or can compose it."""
+    endings = [(name.removeprefix(start), kind) for start, kind in NAME_PREFIXES if name.startswith(start)]
+    return name in EMITTED_NAMES or any(
+        ending in NAME_ENDINGS[kind] | PLACEHOLDERS for ending, kind in endings
+    )
 
 
 def stale_symptoms(text):
-    """What a table of symptoms names and the code lacks: counters, events, fields, texts of messages."""
+    """Counters, events, fields and message texts that a table of symptoms names and the code lacks."""
     cells = list(first_cells(text, "symptom"))
-    named = {name for cell in cells for name in spans(cell) if re.fullmatch(r"[a-z_]+\.\w+", name)}
-    fields = {name for name in named if name.rpartition(".")[2] in ENDINGS[""]}
-    stale = {name for name in named - fields if not exists(f"event {name}") and not exists(f"counter {name}")}
+    named = {name for cell in cells for name in names_in_cell(cell) if re.fullmatch(r"[a-z_]+\.\w+", name)}
+    fields = {name for name in named if name.rpartition(".")[2] in NAME_ENDINGS[""]}
+    stale = {
+        name
+        for name in named - fields
+        if not name_exists(f"event {name}") and not name_exists(f"counter {name}")
+    }
     parts = {part.strip() for cell in cells for quote in cell.split('"')[1::2] for part in quote.split("...")}
     return stale | {part for part in parts if part not in "\n".join(SOURCES)}
 
 
 def test_each_event_and_counter_is_explained():
-    assert sorted(NAMES.difference(*(explained(page.read_text()) for page in PAGES))) == []
+    assert sorted(EMITTED_NAMES.difference(*(explained_names(page.read_text()) for page in PAGES))) == []
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
 def test_a_page_explains_only_what_exists(page):
-    assert [name for name in sorted(explained(page.read_text())) if not exists(name)] == []
+    assert [name for name in sorted(explained_names(page.read_text())) if not name_exists(name)] == []
     assert stale_symptoms(page.read_text()) == set()
 
 
 def test_what_does_not_exist_is_found():
     tree = ast.parse('spawn(log.info, "a"); counters.add("b.c" if d else "b.e")')
-    assert emitted(tree) == {"event a", "counter b.c", "counter b.e"}
-    assert explained("| counter |\n| --- |\n| `b.c`, `.e` |") == {"counter b.c", "counter b.e"}
-    assert not any(map(exists, ("event no_such", "counter request.no_such", "counter no_such.served")))
+    assert emitted_names(tree) == {"event a", "counter b.c", "counter b.e"}
+    assert explained_names("| counter |\n| --- |\n| `b.c`, `.e` |") == {"counter b.c", "counter b.e"}
+    assert not any(map(name_exists, ("event no_such", "counter request.no_such", "counter no_such.served")))
     assert stale_symptoms('| symptom |\n| --- |\n| `a.gone`: "no text" |') == {"a.gone", "no text"}
--- a/tests/test_generated_stubs.py
+++ b/tests/test_generated_stubs.py
@@ -13,7 +13,7 @@
 
 
 def schema_of(module):
-    """The fields and enum values of each message, as its descriptor has them."""
+    """The fields and enum values of each message according to its descriptor."""
     return {
         name: {field.name for field in message.fields}
         | {value.name for enum in message.enum_types for value in enum.values}
@@ -22,7 +22,7 @@
 
 
 def stub_of(module):
-    """The annotated names of each message in the module's stub, without the numbers of fields."""
+    """The annotated names of each message in the module's stub, without the field number constants."""
     tree = ast.parse(Path(module.__file__).with_suffix(".pyi").read_text())
     return {
         definition.name: {
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,12 +1,12 @@
-"""The packages of the program stand on one another in one order; imports run down alone."""
+"""The packages of the program form layers; a module imports only from its own layer and lower ones."""
 
 from graphlib import CycleError, TopologicalSorter
 
 import grimp
 import pytest
 
-# From the ground up. A module belongs to the longest name here that it begins with; those of one row may
-# import each other.
+# From the lowest layer to the highest. A module belongs to the entry with the longest matching prefix.
+# Modules of the same layer may import each other.
 LAYERS = (
     ("marbleglade.runtime", "marbleglade.textproto"),
     ("marbleglade.model",),
@@ -28,12 +28,12 @@
     ("marbleglade.testing", "marbleglade.simulator"),
     ("marbleglade.cli", "marbleglade.__main__"),
 )
-# Imports that still run up: none by now, and none may be added.
-KNOWN_UPWARD: frozenset[tuple[str, str]] = frozenset()
+# Known imports from a higher layer: there are none, and none may be added.
+KNOWN_UPWARD_IMPORTS: frozenset[tuple[str, str]] = frozenset()
 
-# Packages inside of which no modules import each other in a circle, not even for type checking alone. All
-# but `model`, where a request lists its attempts and an attempt names its request.
-WITHOUT_CIRCLES = (
+# Packages without import cycles, including imports that are only for type checking. These are all packages
+# but `model`, where a request lists its attempts and an attempt refers to its request.
+PACKAGES_WITHOUT_CYCLES = (
     "marbleglade.cli",
     "marbleglade.control",
     "marbleglade.deployment",
@@ -54,7 +54,7 @@
 
 
 def layer_of(module):
-    """The place of a module in the order."""
+    """The index of a module's layer; None if it belongs to none."""
     found = [
         (len(name), level)
         for level, names in enumerate(LAYERS)
@@ -74,8 +74,8 @@
     return grimp.build_graph("marbleglade", exclude_type_checking_imports=False, cache_dir=None)
 
 
-def circle_in(graph, package):
-    """Modules of a package that import each other in a circle; empty if there are none."""
+def cycle_in(graph, package):
+    """The modules of an import cycle within a package; empty if there is none."""
     modules = {module for module in graph.modules if module == package or module.startswith(f"{package}.")}
     imports = {module: graph.find_modules_directly_imported_by(module) & modules for module in modules}
     try:
@@ -85,8 +85,8 @@
     return []
 
 
-def upward(graph):
-    """All imports of a module that stands above the one that imports it."""
+def upward_imports(graph):
+    """All pairs of a module and a module of a higher layer that it imports."""
     return {
         (module, imported)
         for module in graph.modules
@@ -96,37 +96,37 @@
     }
 
 
-def test_every_module_has_its_place(graph):
+def test_every_module_belongs_to_a_layer(graph):
     assert {module for module in graph.modules if layer_of(module) is None} <= {"marbleglade"}
 
 
-def test_no_import_runs_up_that_was_not_known(graph):
-    assert upward(graph) - KNOWN_UPWARD == set()
+def test_no_unknown_import_from_a_higher_layer(graph):
+    assert upward_imports(graph) - KNOWN_UPWARD_IMPORTS == set()
 
 
-def test_what_runs_down_by_now_is_no_longer_listed(graph):
-    assert KNOWN_UPWARD - upward(graph) == set()
+def test_each_known_upward_import_still_exists(graph):
+    assert KNOWN_UPWARD_IMPORTS - upward_imports(graph) == set()
 
 
-def test_an_import_that_runs_up_is_found(graph):
+def test_an_upward_import_is_found(graph):
     graph.add_import(importer="marbleglade.runtime.clock", imported="marbleglade.service.front_process")
     try:
-        assert ("marbleglade.runtime.clock", "marbleglade.service.front_process") in upward(graph)
+        assert ("marbleglade.runtime.clock", "marbleglade.service.front_process") in upward_imports(graph)
     finally:
         graph.remove_import(
             importer="marbleglade.runtime.clock", imported="marbleglade.service.front_process"
         )
 
 
-@pytest.mark.parametrize("package", WITHOUT_CIRCLES)
-def test_no_modules_of_a_package_import_each_other_in_a_circle(graph_with_type_checking, package):
-    assert circle_in(graph_with_type_checking, package) == []
+@pytest.mark.parametrize("package", PACKAGES_WITHOUT_CYCLES)
+def test_a_package_has_no_import_cycle(graph_with_type_checking, package):
+    assert cycle_in(graph_with_type_checking, package) == []
 
 
-def test_a_circle_is_found(graph_with_type_checking):
+def test_an_import_cycle_is_found(graph_with_type_checking):
     importer, imported = "marbleglade.gateway.request_journal", "marbleglade.gateway.responder"
     graph_with_type_checking.add_import(importer=importer, imported=imported)
     try:
-        assert {importer, imported} <= set(circle_in(graph_with_type_checking, "marbleglade.gateway"))
+        assert {importer, imported} <= set(cycle_in(graph_with_type_checking, "marbleglade.gateway"))
     finally:
         graph_with_type_checking.remove_import(importer=importer, imported=imported)
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,6 +1,6 @@
-"""The pages that describe the program, and those on incidents, name only files, classes and tests that exist.
+"""The pages on the program and on incidents name only files, classes and tests that exist.
 
-The roadmap, which records the past, keeps the names of its time.
+The roadmap is not checked, because it records the past and keeps the names of that time.
 """
 
 import re
@@ -9,11 +9,11 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-RECORDS = {"ROADMAP.md"}
+UNCHECKED_PAGES = {"ROADMAP.md"}
 PAGES = [
     ROOT / "README.md",
     ROOT / "CONTRIBUTING.md",
-    *(page for page in sorted((ROOT / "docs").glob("*.md")) if page.name not in RECORDS),
+    *(page for page in sorted((ROOT / "docs").glob("*.md")) if page.name not in UNCHECKED_PAGES),
     *sorted((ROOT / "docs/notes").glob("*.md")),
     *sorted((ROOT / "docs/incidents").glob("*.md")),
 ]
@@ -34,7 +34,7 @@
 
 
 def code_spans(page):
-    """The texts between single backquotes."""
+    """The texts between single backquotes in a page."""
     return set(re.findall(r"`([^`\n]+)`", page.read_text()))
 
 
@@ -45,7 +45,7 @@
 
 
 def missing_classes(spans):
-    """Names in CamelCase, with an attribute or without, that the source does not have."""
+    """CamelCase names, with or without an attribute, that the source code does not contain."""
     names = {
         part
         for span in spans
@@ -71,7 +71,7 @@
 
 
 def quoted_tests(spans):
-    """Test names without `test_`: beginnings that end with dots, and whole names of four or more words."""
+    """Quoted test names without `test_`: prefixes followed by dots, and full names of at least four words."""
     return {
         span
         for span in spans
@@ -80,23 +80,23 @@
 
 
 def missing_tests(spans):
-    """Quoted tests that do not exist; a beginning has to be that of some test's name."""
+    """Quoted tests that do not exist; a prefix has to match at min_count one test."""
     quoted = quoted_tests(spans)
-    beginnings = {quote for quote in quoted if quote.endswith("...")}
-    return {quote for quote in quoted - beginnings if quote not in TEST_NAMES} | {
+    prefixes = {quote for quote in quoted if quote.endswith("...")}
+    return {quote for quote in quoted - prefixes if quote not in TEST_NAMES} | {
         quote
-        for quote in beginnings
+        for quote in prefixes
         if not any(name.startswith(quote.removesuffix("...")) for name in TEST_NAMES)
     }
 
 
 @pytest.mark.parametrize(
-    "page, least",
+    "page, min_count",
     [("docs/crossings.md", 50), ("docs/incidents/2026-12-lost-under-faults.md", 1)],
 )
-def test_each_test_that_a_page_quotes_exists(page, least):
+def test_each_test_that_a_page_quotes_exists(page, min_count):
     spans = code_spans(ROOT / page)
-    assert len(quoted_tests(spans)) >= least
+    assert len(quoted_tests(spans)) >= min_count
     assert missing_tests(spans) == set()
 
 
