--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -244,7 +244,7 @@
 
 
 @pytest.fixture
-def hosted_policy():
+def driver_with_policy():
     """A policy driver, its policy, and its clock: a list with the current time in ns as its only element."""
     clock = [1000 * NS_PER_MS]
     driver = PolicyDriver(
--- a/tests/control/configuration/test_proposal_processes.py
+++ b/tests/control/configuration/test_proposal_processes.py
@@ -14,7 +14,7 @@
 from tests.harness.control_plane import control_settings
 from tests.harness.programs import run_program
 from tests.harness.servers import ConnectionServer
-from tests.harness.settings import NO_SERVICE
+from tests.harness.settings import UNUSED_ADDRESS
 from tests.harness.waiting import wait_until
 
 
@@ -117,7 +117,7 @@
     node = RejectingNode()
     path = tmp_path / "control.textproto"
     addresses = {"c0": (("127.0.0.1", 19), node.address)}
-    path.write_text(control_settings(NO_SERVICE, "n3", addresses, "shop"))
+    path.write_text(control_settings(UNUSED_ADDRESS, "n3", addresses, "shop"))
     settings = control_settings_reader.read(str(path))
     timeouts = [0.4 + 0.005 * step for step in range(40)]
     running = [gevent.spawn(Proposer(settings, document(0), timeout).run) for timeout in timeouts]
--- a/tests/harness/departure_front.py
+++ b/tests/harness/departure_front.py
@@ -90,11 +90,11 @@
 
     Attributes:
         network: Delays connections to caches until the test opens its gate.
-        reading_on: An event on which a test may make the reads of the front wait; `close` sets it.
+        reads_permitted: An event on which a test may make the reads of the front wait; `close` sets it.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, policy: type[Policy] = Policy) -> None:
-        self.network, self.reading_on = GatedNetwork(), Event()
+        self.network, self.reads_permitted = GatedNetwork(), Event()
         monkeypatch.setattr(connection_pool, "socket", self.network)
         self.caches = [PausableCache(MAX_CONNECTIONS) for _ in CACHE_IDS]
         environment = read_environment(SETTINGS, 7)
@@ -140,7 +140,7 @@
         wait_until(lambda: len(self.attempts(request_id)) >= count)
         return self.attempts(request_id)[count - 1]
 
-    def began_after(self, request_id: str, left_at: float) -> int:
+    def late_attempt_count(self, request_id: str, left_at: float) -> int:
         """The number of attempts that started more than `GRACE_SECONDS` after the client had disconnected."""
         return sum(attempt.began - left_at > GRACE_SECONDS for attempt in self.attempts(request_id))
 
@@ -155,7 +155,7 @@
         for _ in range(turns):
             gevent.sleep(0.001)
 
-    def pass_grace(self, left_at: float) -> None:
+    def wait_for_grace_period(self, left_at: float) -> None:
         """Waits until the grace time after the disconnect has passed, and then runs the event loop."""
         gevent.sleep(max(0.0, left_at + GRACE_SECONDS + 0.001 - time.monotonic()))
         self.run_loop_turns()
@@ -163,7 +163,7 @@
     def close(self) -> None:
         """Closes the front, its caches and the network."""
         self.network.open_gate()
-        self.reading_on.set()
+        self.reads_permitted.set()
         super().close()
         for cache in self.caches:
             cache.close()
--- a/tests/harness/discovery.py
+++ b/tests/harness/discovery.py
@@ -94,17 +94,19 @@
 class GatedDiscovery(DiscoveryService):
     """A discovery service that accepts every connection, but sends nothing before `released` is set.
 
-    With `for_good`, connections that were accepted earlier are never served, even after `released` is set.
+    With `silence_early_connections`, connections that were accepted earlier are never served, even after `released` is set.
     """
 
-    def __init__(self, address: tuple[str, int] = ("127.0.0.1", 0), for_good: bool = False) -> None:
-        self.released, self.connected, self.for_good = Event(), 0, for_good
+    def __init__(
+        self, address: tuple[str, int] = ("127.0.0.1", 0), silence_early_connections: bool = False
+    ) -> None:
+        self.released, self.connected, self.silence_early_connections = Event(), 0, silence_early_connections
         self.silenced: list[socket.socket] = []
         super().__init__(ZONE, address)
 
     def _follow(self, sock: socket.socket) -> None:
         self.connected += 1
-        if self.for_good and not self.released.is_set():
+        if self.silence_early_connections and not self.released.is_set():
             self.silenced.append(sock)
             return
         self.released.wait()
@@ -117,7 +119,7 @@
             sock.close()
 
 
-def returned_discovery(address: tuple[str, int], event_lines: Iterable[bytes]) -> DiscoveryService:
+def restarted_discovery(address: tuple[str, int], event_lines: Iterable[bytes]) -> DiscoveryService:
     """A discovery service that is restarted at an address with the given events."""
     discovery = DiscoveryService(ZONE, address)
     discovery.event_lines = list(event_lines)
--- a/tests/harness/faulty_front.py
+++ b/tests/harness/faulty_front.py
@@ -16,7 +16,7 @@
 from marbleglade.testing.client import Client, ClientResponse
 from tests.harness.front_with_caches import FrontWithCaches
 from tests.harness.messages import numbered_id, request_message
-from tests.harness.objects import object_ranked
+from tests.harness.objects import object_with_ranking
 from tests.harness.scripted_cache import ReceivedAttempt, ScriptedCache
 from tests.harness.settings import PAGE, front_settings
 from tests.harness.waiting import wait_until
@@ -99,7 +99,9 @@
         objects: list[int] = []
         for cache in self.caches:
             others = [other.name for other in self.caches if other is not cache]
-            objects += [object_ranked(cache.name, *others, skip=skip) for skip in range(1000, 1000 + count)]
+            objects += [
+                object_with_ranking(cache.name, *others, skip=skip) for skip in range(1000, 1000 + count)
+            ]
             cache.script = [cache.hold] * count + cache.script
         sock = self.connect()  # after the search for objects, which may exceed the idle timeout of clients
         for tag, object_id in enumerate(objects, 1):
--- a/tests/harness/front_with_caches.py
+++ b/tests/harness/front_with_caches.py
@@ -74,7 +74,7 @@
             )
         )
 
-    def move_to(self, settings: dict[str, Any], discovery: DiscoveryService) -> None:
+    def reload_with_discovery(self, settings: dict[str, Any], discovery: DiscoveryService) -> None:
         """Makes the front reload its configuration with another discovery service."""
         self.discovery_services.append(discovery)
         self.configure_discovery(settings, discovery)
--- a/tests/harness/objects.py
+++ b/tests/harness/objects.py
@@ -14,7 +14,7 @@
     return sorted(names, key=lambda name: rendezvous_score(object_id, 0, name.encode()), reverse=True)
 
 
-def object_ranked(*names: str, skip: int = 0) -> int:
+def object_with_ranking(*names: str, skip: int = 0) -> int:
     """An object for which the policy prefers the caches in the given order; the first `skip` are left out."""
     found = (id for id in itertools.count(1) if ranked_caches(id, names) == list(names))
     return next(itertools.islice(found, skip, None))
--- a/tests/harness/settings.py
+++ b/tests/harness/settings.py
@@ -43,7 +43,7 @@
 REQUEST_TIMEOUT_MS = 20_000  # default timeout of requests and deadline of each class
 LATENCY_OBJECTIVE_MS = 10_000.0  # long, because the policy starts no attempt once it has passed
 DESCRIPTORS = 300
-NO_SERVICE = ("127.0.0.1", 9)  # an address at which no process listens
+UNUSED_ADDRESS = ("127.0.0.1", 9)  # an address at which no process listens
 
 
 def class_settings(name: str, repeat: str, **more: object) -> dict[str, Any]:
@@ -92,7 +92,7 @@
 
 def endpoint_entry(
     id: str,
-    address: tuple[str, int] = NO_SERVICE,
+    address: tuple[str, int] = UNUSED_ADDRESS,
     kind: str = "box",
     cell: int = 0,
     state: str = "active",
--- a/tests/harness/stalled_loop.py
+++ b/tests/harness/stalled_loop.py
@@ -1,7 +1,7 @@
 """A loop monitor for components that exclude the time of process stalls from their time measurements."""
 
 
-class StalledLoop:
+class FakeLoopMonitor:
     """A loop monitor whose time and total delay the test sets, in ns."""
 
     def __init__(self) -> None:
--- a/tests/runtime/test_time_limit.py
+++ b/tests/runtime/test_time_limit.py
@@ -4,11 +4,11 @@
 from marbleglade.runtime.json_log import Log
 from marbleglade.runtime.loop_monitor import TICK_PERIOD_NS, LoopMonitor
 from marbleglade.runtime.timeouts import TimeLimit
-from tests.harness.stalled_loop import StalledLoop
+from tests.harness.stalled_loop import FakeLoopMonitor
 
 
 def test_a_time_limit_does_not_count_the_time_for_which_the_process_was_stalled():
-    loop = StalledLoop()
+    loop = FakeLoopMonitor()
     loop.delay = 50  # before the time limit began, so not counted
     limit = TimeLimit(loop, 1000)
     loop.time, loop.delay = 1199, 250
--- a/tests/service/test_deduplication_window.py
+++ b/tests/service/test_deduplication_window.py
@@ -10,7 +10,7 @@
 from marbleglade.testing.client import ClientResponse
 from tests.harness.front_with_caches import SECONDS, FrontWithCaches
 from tests.harness.messages import IDEMPOTENCY_KEY
-from tests.harness.objects import object_ranked
+from tests.harness.objects import object_with_ranking
 from tests.harness.scripted_cache import EffectLog, ReceivedAttempt, ScriptedCache
 from tests.harness.settings import PAYMENT, front_settings
 from tests.harness.waiting import wait_until
@@ -32,7 +32,7 @@
             {"ConnectTimeout": LONG_CONNECT_MS}, payment={"KeyTtl": float(window_ms), "Group": "cell"}
         )
         self.front = start_front(settings, *self.caches)
-        self.object_id = object_ranked(*cells)
+        self.object_id = object_with_ranking(*cells)
 
     def send_request(self) -> ClientResponse | None:
         """Send one request; the policy prefers the caches in the order of their names in `cells`."""
--- a/tests/service/test_descriptor_pressure.py
+++ b/tests/service/test_descriptor_pressure.py
@@ -11,7 +11,7 @@
 
 from marbleglade.testing.client import Client, ClientResponse
 from marbleglade.testing.front_fleet import FrontFleet
-from tests.harness.discovery import GatedDiscovery, returned_discovery
+from tests.harness.discovery import GatedDiscovery, restarted_discovery
 from tests.harness.waiting import wait_until
 
 DESCRIPTORS = 120
@@ -113,7 +113,7 @@
 
 def sends_nothing(_front: CrowdedFront, address: tuple[str, int]) -> GatedDiscovery:
     """Accept connections on which nothing is ever sent, not even after the service has returned."""
-    held = GatedDiscovery(address, for_good=True)
+    held = GatedDiscovery(address, silence_early_connections=True)
     wait_until(lambda: held.connected, WAIT_LIMIT_S)
     return held
 
@@ -163,7 +163,7 @@
     if held:
         held.event_lines = list(first.event_lines)
         held.released.set()
-    returned = held or returned_discovery(first.address, first.event_lines)
+    returned = held or restarted_discovery(first.address, first.event_lines)
     front.fleet.discovery_services = [returned]
     wait_until(lambda: returned.watchers, WAIT_LIMIT_S)
     leaving = front.fleet.caches[0]
--- a/tests/service/test_restart_readiness.py
+++ b/tests/service/test_restart_readiness.py
@@ -12,7 +12,7 @@
 from marbleglade.testing.discovery_service import DiscoveryService
 from marbleglade.testing.front_fleet import FrontFleet
 from marbleglade.testing.sockets import reserve_address
-from tests.harness.discovery import GatedDiscovery, returned_discovery
+from tests.harness.discovery import GatedDiscovery, restarted_discovery
 from tests.harness.fleet_restarts import start_all, stop_all
 from tests.harness.servers import UnreachableAddress
 from tests.harness.waiting import wait_until
@@ -69,7 +69,7 @@
         """Start a discovery service at each address."""
         self.unreachable.close()
         self.refusing.close()
-        return [returned_discovery(address, self.event_lines) for address in self.addresses]
+        return [restarted_discovery(address, self.event_lines) for address in self.addresses]
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/service/test_silent_discovery.py
+++ b/tests/service/test_silent_discovery.py
@@ -6,7 +6,7 @@
 
 from tests.harness.discovery import ScriptedDiscovery
 from tests.harness.front_with_caches import SECONDS
-from tests.harness.objects import object_ranked
+from tests.harness.objects import object_with_ranking
 from tests.harness.scripted_cache import ScriptedCache
 from tests.harness.settings import ORDER, PAGE, front_settings
 from tests.harness.waiting import wait_until
@@ -19,9 +19,13 @@
     first, second = ScriptedCache("s1"), ScriptedCache("s2")
     settings = front_settings()
     front = start_front(settings, first, second)
-    client, drained, purged = front.connect_client(), object_ranked("s1", "s2"), object_ranked("s2", "s1")
+    client, drained, purged = (
+        front.connect_client(),
+        object_with_ranking("s1", "s2"),
+        object_with_ranking("s2", "s1"),
+    )
     moved = ScriptedDiscovery(front.discovery)
-    front.move_to(settings, moved)
+    front.reload_with_discovery(settings, moved)
     wait_until(lambda: moved.watchers, SECONDS)
     moved.purge(0, 99, 1)  # the new connection works
     wait_until(lambda: front.counter("purge.received") == 1, SECONDS, interval=0.05)
--- a/tests/service/test_unreachable_connections.py
+++ b/tests/service/test_unreachable_connections.py
@@ -10,7 +10,7 @@
 from marbleglade.testing.client import ClientResponse
 from tests.harness.front_with_caches import SECONDS, FrontWithCaches
 from tests.harness.messages import IDEMPOTENCY_KEY
-from tests.harness.objects import object_ranked
+from tests.harness.objects import object_with_ranking
 from tests.harness.scripted_cache import ScriptedCache
 from tests.harness.servers import UnreachableAddress
 from tests.harness.settings import ORDER, PAGE, PAYMENT, REQUEST_TIMEOUT_MS, front_settings
@@ -44,10 +44,12 @@
     cache = ScriptedCache("s1")
     settings = front_settings({"ConnectTimeout": CONNECT_MS}, payment={"Group": "cell"})
     front = start_front(settings, cache, unreachable={"s2": unreachable.address})
-    send_request_of_each_class(front, (PAGE,), object_ranked("s1", "s2"), REQUEST_TIMEOUT_MS)
+    send_request_of_each_class(front, (PAGE,), object_with_ranking("s1", "s2"), REQUEST_TIMEOUT_MS)
     descriptors = front.open_descriptors()
 
-    answers = send_request_of_each_class(front, ALL_CLASSES, object_ranked("s2", "s1"), REQUEST_TIMEOUT_MS)
+    answers = send_request_of_each_class(
+        front, ALL_CLASSES, object_with_ranking("s2", "s1"), REQUEST_TIMEOUT_MS
+    )
     assert [(response.status, response.body) for response in answers if response] == [("ok", b"s1")] * len(
         ALL_CLASSES
     )
@@ -94,7 +96,7 @@
     front = start_front(front_settings({"ConnectTimeout": CONNECT_MS}), first, second)
     clients = [front.connect_client(), front.connect_client()]
     for client in clients:
-        front.send_request(client, ORDER, object_ranked("s2", "s1"))
+        front.send_request(client, ORDER, object_with_ranking("s2", "s1"))
     descriptors, before = front.open_descriptors(), len(second.attempts)
 
     # Each attempt in flight uses a connection of its own, so the fiftieth needs a new one.
@@ -104,13 +106,15 @@
             front.send_request,
             clients[number % 2],
             ALL_CLASSES[number % 3],
-            object_ranked("s1", "s2", skip=number),
+            object_with_ranking("s1", "s2", skip=number),
         )
         for number in range(ATTEMPT_COUNT - 1)
     ]
     wait_until(lambda: len(first.attempts) == ATTEMPT_COUNT - 1, SECONDS)
     first.hold_connections()
-    held = gevent.spawn(front.send_request, clients[0], ORDER, object_ranked("s1", "s2", skip=ATTEMPT_COUNT))
+    held = gevent.spawn(
+        front.send_request, clients[0], ORDER, object_with_ranking("s1", "s2", skip=ATTEMPT_COUNT)
+    )
     response = held.get(timeout=SECONDS)
     assert (
         response and (response.status, response.body) == ("ok", b"s2") and len(second.attempts) == before + 1
--- a/tests/system/test_stalled_front.py
+++ b/tests/system/test_stalled_front.py
@@ -16,9 +16,9 @@
 from tests.harness.control_plane import control_settings, free_address
 from tests.harness.faulty_front import FaultyFront
 from tests.harness.messages import numbered_id, resp_array
-from tests.harness.objects import object_ranked
+from tests.harness.objects import object_with_ranking
 from tests.harness.scripted_cache import scripted_caches
-from tests.harness.settings import NO_SERVICE, endpoint_entry
+from tests.harness.settings import UNUSED_ADDRESS, endpoint_entry
 from tests.harness.waiting import wait_until
 
 GRACE_SECONDS = 0.1  # after a client has left or a drain was announced; no attempt may start later
@@ -175,7 +175,7 @@
     front = start_front(draining, other)
     front.open_idle_connections(4)
     sock, request_id = front.connect(), numbered_id(1)
-    request = front.request(7, request_id, object_ranked(draining.name, other.name))
+    request = front.request(7, request_id, object_with_ranking(draining.name, other.name))
     sock.sendall(resp_array(b"STATUS", b"1", b""))
     sock.recv(100)
     with front.stalled_after_poll(lambda: sock.sendall(request)):
@@ -190,7 +190,7 @@
     draining, other = scripted_caches()
     nodes = [StandInControlNode(name, "d", f"s-{name}") for name in ("c1", "c2")]
     addresses = {node.name: (node.address, free_address()) for node in nodes}
-    settings = control_settings(NO_SERVICE, "n1", addresses)
+    settings = control_settings(UNUSED_ADDRESS, "n1", addresses)
     (tmp_path / "control.textproto").write_text(settings)
     front = start_front(
         draining, other, environment={"MARBLEGLADE_CONTROL": str(tmp_path / "control.textproto")}
@@ -200,7 +200,7 @@
     wait_until(lambda: all(node["current"] for node in front.counters_event()["control"]["nodes"]), 10.0, 0.1)
     front.open_idle_connections(4)
     sock, request_id = front.connect(), numbered_id(1)
-    request = front.request(7, request_id, object_ranked(draining.name, other.name))
+    request = front.request(7, request_id, object_with_ranking(draining.name, other.name))
     sock.sendall(resp_array(b"STATUS", b"1", b""))
     sock.recv(100)
     with front.stalled_after_poll(lambda: sock.sendall(request)):
--- a/tests/system/test_time_limits.py
+++ b/tests/system/test_time_limits.py
@@ -150,9 +150,9 @@
 # Tests within the test process.
 
 
-def test_a_decision_made_as_the_time_limit_expires_is_executed(hosted_policy):
+def test_a_decision_made_as_the_time_limit_expires_is_executed(driver_with_policy):
     """One iteration of the event loop handles both."""
-    driver, policy, clock = hosted_policy
+    driver, policy, clock = driver_with_policy
     request = new_request(clock, 50)
     policy.on_request = lambda _request: None
     decision = AsyncResult()
--- a/tests/test_policy_driver.py
+++ b/tests/test_policy_driver.py
@@ -12,8 +12,8 @@
 from tests.scripted_policy import ScriptedPolicy, new_request
 
 
-def test_a_request_is_attempted_and_served(hosted_policy):
-    driver, policy, clock = hosted_policy
+def test_a_request_is_attempted_and_served(driver_with_policy):
+    driver, policy, clock = driver_with_policy
     request = new_request(clock)
     order = driver.next_step(request)
     assert isinstance(order, AttemptOrder)
@@ -40,8 +40,8 @@
     ],
 )
 @pytest.mark.parametrize("at_once", [True, False])
-def test_a_rejection_or_failure_ends_the_request(hosted_policy, decide, outcome, retry_after, at_once):
-    driver, policy, clock = hosted_policy
+def test_a_rejection_or_failure_ends_the_request(driver_with_policy, decide, outcome, retry_after, at_once):
+    driver, policy, clock = driver_with_policy
     request = new_request(clock)
     if at_once:
         policy.on_request = lambda request: decide(driver, request)
@@ -52,8 +52,8 @@
     assert (decision.outcome, decision.retry_after, request.finished) == (outcome, retry_after, True)
 
 
-def test_a_decision_that_is_made_at_once_is_returned_without_a_wait(hosted_policy):
-    driver, policy, clock = hosted_policy
+def test_a_decision_that_is_made_at_once_is_returned_without_a_wait(driver_with_policy):
+    driver, policy, clock = driver_with_policy
     attempted, served = new_request(clock), new_request(clock)
     assert driver.submit(attempted) is None
     assert isinstance(driver.next_step(attempted), AttemptOrder)
@@ -62,8 +62,8 @@
     assert (decision.outcome, decision.from_local_cache) == (RequestOutcome.SERVED, True)
 
 
-def test_attempts_that_an_error_left_in_flight_are_cancelled_and_removed(hosted_policy):
-    driver, policy, clock = hosted_policy
+def test_attempts_that_an_error_left_in_flight_are_cancelled_and_removed(driver_with_policy):
+    driver, policy, clock = driver_with_policy
     request = new_request(clock)
     order = driver.next_step(request)
     request.finished = True
@@ -73,8 +73,8 @@
     assert request.attempts == [] and not len(driver.open_requests)
 
 
-def test_a_retry_follows_a_failed_attempt(hosted_policy):
-    driver, policy, clock = hosted_policy
+def test_a_retry_follows_a_failed_attempt(driver_with_policy):
+    driver, policy, clock = driver_with_policy
     request = new_request(clock)
     policy.on_failure = policy.start_attempt
     first = driver.next_step(request)
@@ -83,8 +83,8 @@
     assert second.attempt is not first.attempt and request.attempts == [first.attempt, second.attempt]
 
 
-def test_a_cancelled_attempt_ends_its_wait_and_is_reported_later(hosted_policy):
-    driver, policy, clock = hosted_policy
+def test_a_cancelled_attempt_ends_its_wait_and_is_reported_later(driver_with_policy):
+    driver, policy, clock = driver_with_policy
     request = new_request(clock)
     order = driver.next_step(request)
     waiter = gevent.spawn(order.result.get)
@@ -96,8 +96,8 @@
     assert policy.calls == ["handle_request", AttemptResult.CANCELLED]
 
 
-def test_a_disconnected_client_ends_its_request_and_its_attempt(hosted_policy):
-    driver, policy, clock = hosted_policy
+def test_a_disconnected_client_ends_its_request_and_its_attempt(driver_with_policy):
+    driver, policy, clock = driver_with_policy
     request = new_request(clock)
     order = driver.next_step(request)
     driver.client_disconnected(request)
@@ -111,8 +111,8 @@
     assert not len(driver.open_requests)
 
 
-def test_no_attempt_is_started_for_a_client_that_left_before_its_request_was_submitted(hosted_policy):
-    driver, policy, clock = hosted_policy
+def test_no_attempt_is_started_for_a_client_that_left_before_its_request_was_submitted(driver_with_policy):
+    driver, policy, clock = driver_with_policy
     request = new_request(clock)
     driver.client_disconnected(request)
     assert driver.next_step(request).outcome is RequestOutcome.CANCELLED
@@ -120,16 +120,16 @@
     assert not len(driver.open_requests)
 
 
-def test_a_request_that_the_policy_leaves_undecided_fails_at_its_deadline(hosted_policy):
-    driver, policy, clock = hosted_policy
+def test_a_request_that_the_policy_leaves_undecided_fails_at_its_deadline(driver_with_policy):
+    driver, policy, clock = driver_with_policy
     request = new_request(clock, timeout_ms=5)
     policy.on_request, driver.counters.strict = lambda _request: None, False
     assert driver.next_step(request).outcome is RequestOutcome.FAILED and request.finished
     assert driver.counters.table() == {"violated_invariant.undecided_at_deadline": 1}
 
 
-def test_giving_up_all_decides_every_open_request(hosted_policy):
-    driver, _policy, clock = hosted_policy
+def test_giving_up_all_decides_every_open_request(driver_with_policy):
+    driver, _policy, clock = driver_with_policy
     requests = [new_request(clock) for _ in range(3)]
     orders = [driver.next_step(request) for request in requests]
     driver.report_result(orders[0], AttemptResult.OK)
@@ -139,24 +139,24 @@
     assert [order.result.ready() for order in orders] == [False, True, True]
 
 
-def test_due_timers_run_and_the_time_of_the_next_one_is_returned(hosted_policy):
-    driver, policy, clock = hosted_policy
+def test_due_timers_run_and_the_time_of_the_next_one_is_returned(driver_with_policy):
+    driver, policy, clock = driver_with_policy
     driver.schedule_wakeup(10 * NS_PER_MS)
     assert driver.run_timers() == clock[0] + 10 * NS_PER_MS and policy.calls == []
     clock[0] += 35 * NS_PER_MS
     assert driver.run_timers() == clock[0] + 10 * NS_PER_MS and policy.calls == ["on_timer"]
 
 
-def test_a_nested_call_of_the_policy_is_detected(hosted_policy):
-    driver, policy, clock = hosted_policy
+def test_a_nested_call_of_the_policy_is_detected(driver_with_policy):
+    driver, policy, clock = driver_with_policy
     policy.on_request = lambda request: driver._call(policy.client_disconnected, request)
     with pytest.raises(AssertionError, match="policy_reentered"):
         driver.next_step(new_request(clock))
     assert not driver.in_call
 
 
-def test_load_probes_are_fetched_and_load_reports_stored(hosted_policy):
-    driver, policy, clock = hosted_policy
+def test_load_probes_are_fetched_and_load_reports_stored(driver_with_policy):
+    driver, policy, clock = driver_with_policy
     driver.probe_load(policy.cache)
     assert driver.next_probe() is policy.cache
     driver.record_load_report(policy.cache, {"x1": 1.5})
--- a/tests/transport/departures.py
+++ b/tests/transport/departures.py
@@ -62,7 +62,7 @@
 
     def dispatch_some(client: ClientConnection, message: ReceivedMessage) -> None:
         if next(handled) > HANDLED_BEFORE_PAUSE:
-            front.reading_on.wait()
+            front.reads_permitted.wait()
         dispatch(client, message)
 
     dispatcher.dispatch = dispatch_some
--- a/tests/transport/test_client_departure.py
+++ b/tests/transport/test_client_departure.py
@@ -43,12 +43,12 @@
     departure.before(front, sock)
     departure.leave(sock)
     left_at = time.monotonic()
-    front.pass_grace(left_at)
+    front.wait_for_grace_period(left_at)
     state.resolve(front)
     if state.attempts_after:  # waits even for a busy front
         wait_until(lambda: not front.is_open(REQUEST_ID) or len(front.attempts(REQUEST_ID)) > before)
     front.run_loop_turns()
-    assert front.began_after(REQUEST_ID, left_at) == 0
+    assert front.late_attempt_count(REQUEST_ID, left_at) == 0
     assert len(front.attempts(REQUEST_ID)) == before
 
 
@@ -66,7 +66,7 @@
     time.sleep(GRACE_SECONDS + 0.01)  # the whole process is stalled
     wait_until(lambda: not front.is_open(REQUEST_ID) or front.attempts(REQUEST_ID))
     front.run_loop_turns()
-    assert front.began_after(REQUEST_ID, left_at) == 0 and not front.attempts(REQUEST_ID)
+    assert front.late_attempt_count(REQUEST_ID, left_at) == 0 and not front.attempts(REQUEST_ID)
 
 
 @pytest.mark.parametrize("state", STATES, ids=str)
@@ -75,9 +75,9 @@
     sock = connect_client_for(front, state, without_other_traffic)
     state.arrange(front, sock)
     before, since = len(front.attempts(REQUEST_ID)), time.monotonic()
-    front.pass_grace(since)
+    front.wait_for_grace_period(since)
     state.resolve(front)
     if state.attempts_after:
         front.wait_for_attempts(REQUEST_ID, before + state.attempts_after)
     front.run_loop_turns()
-    assert front.began_after(REQUEST_ID, since) == state.attempts_after
+    assert front.late_attempt_count(REQUEST_ID, since) == state.attempts_after
--- a/tests/transport/test_sockets.py
+++ b/tests/transport/test_sockets.py
@@ -16,7 +16,7 @@
 from marbleglade.transport.peer_datagrams import PeerSocket
 from marbleglade.transport.timed_write import send_within
 from tests.harness.servers import bound_socket
-from tests.harness.stalled_loop import StalledLoop
+from tests.harness.stalled_loop import FakeLoopMonitor
 from tests.harness.waiting import wait_until
 
 
@@ -65,7 +65,7 @@
 
 def test_a_write_to_a_peer_that_reads_nothing_ends_at_its_limit():
     ours, theirs = socket.socketpair()
-    loop = StalledLoop()
+    loop = FakeLoopMonitor()
     loop.now = time.monotonic_ns
     started_at = time.monotonic()
     assert not send_within(ours, bytes(1 << 24), TimeLimit(loop, loop.now() + 100_000_000))
