--- a/tests/harness/discovery.py
+++ b/tests/harness/discovery.py
@@ -94,7 +94,8 @@
 class GatedDiscovery(DiscoveryService):
     """A discovery service that accepts every connection, but sends nothing before `released` is set.
 
-    With `silence_early_connections`, connections that were accepted earlier are never served, even after `released` is set.
+    With `silence_early_connections`, connections that were accepted earlier are never served, even after
+    `released` is set.
     """
 
     def __init__(
