--- a/marbleglade/policy/slow_start.py
+++ b/marbleglade/policy/slow_start.py
@@ -12,10 +12,12 @@
 from .load_estimate import LoadEstimate
 from .rendezvous import rendezvous_score
 
-KEY_RANGE_PART = -1  # hashed in place of the part, so that a key range contains whole objects
-# Share of a cold upstream's capacity that is used; the rest is left for retries and random variation.
+KEY_RANGE_PART = -1  # hashed in place of the part's number, so that a key range contains whole objects
+# Planned load of a cold upstream, as a share of the load above which it is overloaded. The rest is left for
+# retries and random variation.
 PLANNED_LOAD_SHARE = 1 / 2
-# Maximum unused budget, as a share of the averaging window of the load (`Parameters.overload_window`).
+# Maximum unused warm-up budget, as a share of the budget that accrues in one averaging window of the load
+# (`Parameters.overload_window`).
 MAX_SAVED_WINDOW_SHARE = 1 / 2
 
 
@@ -24,7 +26,8 @@
 
     Attributes:
         role: The role.
-        initial_share: Capacity of an upstream that has just started, as a share of a warm one's load, 0 to 1.
+        initial_share: Load that an upstream can serve right after its start, as a share of a warm one's load,
+            0 to 1.
         duration: Time in which that share grows to 1, ns; afterwards there is no limit.
         overload_factor: Ratio of load to normal load above which a cold upstream is overloaded.
     """
@@ -44,12 +47,14 @@
         self._load = load
 
     def admits(self, request: Request, upstream: Upstream, now: int) -> bool:
-        """Return whether the object is in the upstream's key range and its warm-up budget is not exhausted.
+        """Return whether slow start allows sending the request to the upstream.
 
-        Key range and budget depend on one share: the share of a warm upstream's load that an upstream of this
+        An upstream that is warm or has no known start time admits every request. A cold one admits a request
+        if the object is in the upstream's key range and the upstream's warm-up budget is not exhausted. Key
+        range and budget depend on one share: the share of a warm upstream's load that an upstream of this
         age can serve, times the overload factor, times `PLANNED_LOAD_SHARE`. The key range covers this share
-        of the hash range. The budget grows by this share of the mean recent load per upstream of the role.
-        Each call refills the budget.
+        of the hash range. The budget grows by this share of the front's recent load divided by the highest
+        number of upstreams of the role listed so far. Each call for a cold upstream refills the budget.
         """
         if not upstream.started_at:
             return True
@@ -83,7 +88,15 @@
         )
 
     def _refill(self, upstream: Upstream, rate: float, now: int) -> None:
-        """Increase the warm-up budget by the elapsed time times `rate` (transfer time per time)."""
+        """Add the elapsed time times `rate` to the warm-up budget, up to its limit.
+
+        The limit is the budget that accrues in `MAX_SAVED_WINDOW_SHARE` of the averaging window.
+
+        Args:
+            upstream: The cold upstream.
+            rate: Growth of the budget: transfer time per unit of time.
+            now: The present time, ns.
+        """
         health = upstream.health
         elapsed = now - max(health.warmup_budget_at, upstream.started_at)
         health.warmup_budget_at = now
--- a/marbleglade/policy/stages/routing.py
+++ b/marbleglade/policy/stages/routing.py
@@ -1,4 +1,4 @@
-"""The stage that selects the cache for a request."""
+"""The stage that selects the cache or parent for a request, or rejects the request."""
 
 from __future__ import annotations
 
@@ -33,7 +33,11 @@
 
 
 class Routing:
-    """Sends a request to the first usable cache in rendezvous hash order that can respond in time."""
+    """Sends a request to the first usable cache in rendezvous hash order that can respond in time.
+
+    If no cache can, a non-idempotent request is sent to the fastest one. Any other request is sent where
+    links are not congested, which may be a parent, or is rejected.
+    """
 
     def __init__(
         self,
@@ -64,7 +68,7 @@
         self._dispatch = dispatch
 
     def handle_request(self, request: Request) -> None:
-        """Send the request to a cache, or to a parent directly, or reject or fail it."""
+        """Send the request to a cache, or directly to a parent, or end it without an attempt."""
         now, context = self._host.now(), request.context
         caches = self._cache_selection.candidates(request, now)
         time_left = context.objective_at - now
@@ -88,7 +92,8 @@
     def _select_cache(self, request: Request, caches: list[Upstream], time_left: int) -> PredictedResponse:
         """Return the first cache that can respond in time, else the fastest one.
 
-        The hash order makes a popular object spread to a second cache, but not to many.
+        Since the first cache in hash order that is in time is taken, not the fastest one, a popular object
+        spreads to a second cache, but not to many.
         """
         response_time = self._prediction.response_time(request, caches[0])
         if response_time <= time_left:
@@ -104,15 +109,17 @@
     ) -> None:
         """Handle a request that no cache can fill in time, or whose fill would overload the origin.
 
-        If only fills are congested, the preferred cache serves the object if it is cached there or, as long
-        as the zone's link is reported to have capacity, at a parent. If the cache's own link is
-        congested, a parent may respond to the request directly.
+        If the selected cache's own link is congested, a parent may respond to the request directly, provided
+        that the zone's link is reported to have capacity. Otherwise only fills are congested. Then a retry
+        is not sent, and a first attempt may be sent as a probe of the fill links. If no probe is due, the
+        preferred cache serves the object only if it is cached there or, provided that the zone's link is
+        reported to have capacity, at a parent.
 
         Args:
             request: The request.
             preferred: The first cache in hash order.
             cache: The cache selected by predicted response time.
-            time_left: The longest response time that is still in time, ns.
+            time_left: The longest acceptable response time, ns.
             now: The present time, ns.
         """
         last_reporting = max(self._upstreams.zone_caches, key=lambda each: each.reported_at)
@@ -134,7 +141,10 @@
             self._dispatch.send(request, preferred, parent or preferred, only_if_cached=True)
 
     def _may_probe_fills(self, request: Request, cache: Upstream, now: int) -> bool:
-        """Return whether a fill may be sent as a probe: each of its links is idle and due for a probe.
+        """Return whether a fill may be sent as a probe.
+
+        Each link of the fill (all links of the response except the cache's own) must be idle and due for a
+        probe.
 
         Without such probes, the front could not detect that the congestion has ended.
         """
--- a/marbleglade/policy/timers.py
+++ b/marbleglade/policy/timers.py
@@ -17,12 +17,13 @@
 from .numbered_random import NumberedRandom
 
 OVERDUE_CHECKS_PER_OBJECTIVE = 2  # checks of an overdue attempt within the shortest latency objective
-# Number of overdue attempts, with no response in between, after which a cache counts as silent. A single
-# overdue attempt may simply have a long response.
+# Number of overdue attempts, all sent since the last response of their upstream, from which the upstream
+# counts as silent. A single overdue attempt may simply have a long response.
 MIN_OVERDUE_ATTEMPTS = 2
-# Share of a failure that is attributed to a fill source that has not answered. The second value applies where
-# responses do not report whether the source filled anything.
+# Share of a failure that is attributed to a fill source that has not answered, if responses report whether
+# the source filled the object.
 SILENT_SOURCE_SHARE = 1 / 2
+# The same share if responses do not report it.
 UNREPORTED_SOURCE_SHARE = 1 / 4
 
 
@@ -30,12 +31,15 @@
     """The time at which an attempt is checked unless it has ended; sorts by time, then by number."""
 
     expires_at: int  # ns
-    number: int  # sequence number of the scheduling, so that no two entries compare equal
+    number: int  # sequence number of the entry, so that no two entries compare equal
     attempt: Attempt
 
 
 class AttemptTimers:
-    """A priority queue of the deadlines of all attempts; equal deadlines expire in scheduling order."""
+    """A priority queue of attempt deadlines; equal deadlines expire in the order of scheduling.
+
+    Entries of ended attempts stay in the queue until their deadline, and are ignored then.
+    """
 
     def __init__(
         self,
@@ -47,13 +51,13 @@
         self._check_interval = durations.shortest_objective // OVERDUE_CHECKS_PER_OBJECTIVE
         reported = parameters.reports_cache_status
         self._source_share = SILENT_SOURCE_SHARE if reported else UNREPORTED_SOURCE_SHARE
-        self._sequence = random
+        self._random = random
         self._attribution = attribution
         self._deadlines: list[AttemptDeadline] = []  # a binary heap
 
     def schedule(self, deadline: int, attempt: Attempt) -> None:
         """Schedule a check of an attempt at `deadline`, ns."""
-        entry = AttemptDeadline(deadline, self._sequence.next_number(), attempt)
+        entry = AttemptDeadline(deadline, self._random.next_number(), attempt)
         heapq.heappush(self._deadlines, entry)
 
     def run_expired(self, now: int) -> None:
@@ -62,7 +66,12 @@
             self._on_timeout(heapq.heappop(self._deadlines).attempt, now)
 
     def _on_timeout(self, attempt: Attempt, now: int) -> None:
-        """Fail over if an upstream is ejected, else look for a silent one and schedule another check."""
+        """Check one attempt whose deadline has passed.
+
+        Nothing is done if the attempt or its request has ended or the response has started. If the upstream
+        or the fill source is ejected, the attempt fails over. Otherwise a silent upstream is looked for,
+        congestion is recorded, and another check is scheduled.
+        """
         request, context = attempt.request, attempt.request.context
         if attempt.result is not None or request.finished or context.response_started:
             return
@@ -74,7 +83,8 @@
         if suspect := self._silent_upstream(attempt, lateness, now):
             share = FULL_SHARE if suspect is attempt.upstream else self._source_share
             self._attribution.attribute_and_eject_outlier(suspect, share, now)
-        # An overdue attempt indicates congestion on its last link; it is counted once, at the first check.
+        # An overdue attempt indicates congestion on its last link. It is counted once: only at a check within
+        # one check interval after the end of the latency objective.
         if context.size_known and lateness < self._check_interval:
             last = attempt.link_reservations[-1]
             last.link.observe(last.in_flight, context.transfer_time, now - attempt.sent_at, now)
@@ -83,9 +93,11 @@
     def _silent_upstream(self, attempt: Attempt, lateness: int, now: int) -> Upstream | None:
         """Return the upstream that an overdue attempt shows to be silent, or None.
 
-        It is the cache if the cache has answered nothing since the attempt was sent and another attempt there
-        is overdue as well. If the cache does answer other attempts, it is the fill source, provided that the
-        fill source has not answered since; it is suspected at the first check only.
+        An attempt is overdue if it has not ended when its request's latency objective has passed. If the
+        upstream of the attempt (a cache or a parent) has not responded since the attempt was sent, it is
+        silent if at least `MIN_OVERDUE_ATTEMPTS` overdue attempts were sent there since its last response. If
+        it has responded, the fill source is silent if it has not responded since the attempt was sent.
+        A fill source is suspected only within one check interval after the end of the objective.
 
         Args:
             attempt: The overdue attempt.
--- a/marbleglade/protocols/client_protocol.py
+++ b/marbleglade/protocols/client_protocol.py
@@ -18,7 +18,9 @@
 IDEMPOTENCY_KEY = re.compile(rb"[!-+\--~]{1,128}")  # no comma or space, as field lists carry it
 NUMBER = re.compile(rb"[0-9]{1,18}")
 MAX_GROUP = 255  # highest purge group of the protocol
-MAX_TIMEOUT_FACTOR = 2  # times the class's client timeout; a cache has no use for a longer one
+# Ratio of the longest accepted timeout of a request to the client timeout of its class. A cache has no use
+# for a longer timeout.
+MAX_TIMEOUT_FACTOR = 2
 FIELD = re.compile(rb"([a-z]+)=([^,]*)(?:,|$)")
 # The most frequent form of a request, up to its body. One match is faster than decoding each string.
 COMMON_REQUEST = re.compile(
@@ -28,7 +30,7 @@
 
 
 class InvalidFrameError(Exception):
-    """The bytes are not a valid frame, so the connection has to be closed."""
+    """The bytes are not a valid frame, or a frame has no valid tag, so the connection has to be closed."""
 
 
 @dataclass(slots=True)
@@ -50,10 +52,10 @@
         max_age_ns: Maximum age of a cached response, ns; 0 is `DEFAULT_MAX_AGE`.
         via_regions: The regions through which the request was forwarded.
         idempotency_key: Key by which caches recognize a repeated request; empty if there is none.
-        received_at: Time at which it counts as received, ns of the monotonic clock; 0 if that is the time at
-            which it is handled.
-        check_client_end: Called before each attempt; handles a cancel or a departure of the client that is
-            not read yet.
+        received_at: Time at which the request counts as received, ns of the monotonic clock; 0 for the time
+            at which it is handled.
+        check_client_end: Function to call before each attempt. It handles a cancel or the end of the client's
+            input that has arrived but has not been read yet.
     """
 
     tag: int
@@ -90,7 +92,7 @@
 
 @dataclass(slots=True)
 class InvalidRequest:
-    """A message with a valid tag that can't be served; it is answered with a failure."""
+    """A message with a valid tag that is invalid in another way; the client receives a failure for it."""
 
     tag: int
 
@@ -105,7 +107,7 @@
         self.buffer = bytearray()
         self.strings: list[bytes] = []  # the strings read so far of an incomplete frame
         self.missing_strings = 0  # number of strings that the incomplete frame still needs
-        # The error in the bytes after the last complete frame; None if there is no error.
+        # The error that `feed` did not raise because complete frames preceded the invalid bytes, or None.
         self.error: InvalidFrameError | None = None
 
     @property
@@ -175,7 +177,7 @@
         end = self.buffer.find(b"\r\n", position, position + MAX_LENGTH_LINE_BYTES)
         if end < 0:
             if len(self.buffer) - position >= MAX_LENGTH_LINE_BYTES:
-                raise InvalidFrameError("the length of an array or a string is not followed by CRLF")
+                raise InvalidFrameError("a length line does not end with CRLF within MAX_LENGTH_LINE_BYTES")
             return -1
         kind, number = self.buffer[position], bytes(self.buffer[position + 1 : end])
         if kind != (STRING if self.missing_strings else ARRAY) or not NUMBER.fullmatch(number):
@@ -214,7 +216,7 @@
 
 
 def _unique_fields(field_list: bytes) -> dict[bytes, bytes] | None:
-    """Return the fields of a list by name; None if a field is repeated."""
+    """Return the fields of a list by name, ignoring text that is no field; None if a field is repeated."""
     pairs = FIELD.findall(field_list)
     fields = dict(pairs)
     return fields if len(fields) == len(pairs) else None
@@ -223,7 +225,11 @@
 def _decode_request(
     tag: int, strings: list[bytes], request_classes: Mapping[str, RequestClass]
 ) -> ClientRequest | None:
-    """Return a request; None if a field is missing, repeated or out of range."""
+    """Return a request, or None if it is invalid.
+
+    It is invalid if the number of strings is wrong, the request class is unknown, or a field is missing,
+    repeated, malformed or out of range.
+    """
     fields = _unique_fields(strings[3]) if 4 <= len(strings) <= 5 else None
     if fields is None:
         return None
--- a/marbleglade/request_handler.py
+++ b/marbleglade/request_handler.py
@@ -37,8 +37,8 @@
     """The state of a request's attempts so far.
 
     Attributes:
-        served: The successful attempt; its body stays reserved in the body budget until it is released.
-        object_missing: Whether the last attempt ended with the origin's response that the object is missing.
+        served: The successful attempt; `release_body` returns the bytes of its body to the body budget.
+        object_missing: Whether the last attempt showed that the object is missing; see `_is_object_missing`.
     """
 
     served: UpstreamResult | None = None
@@ -119,13 +119,13 @@
         return self.driver.policy.parameters.clock_resolution
 
     def over_capacity(self) -> bool:
-        """Return whether a body waits for memory or too many requests are open; count it if so."""
+        """Return whether a body waits for body budget or too many requests are open; count it if so."""
         if not (self.upstream_client.body_budget.has_waiters or self.driver.open_requests.full):
             return False
         self.counters.add("request.over_capacity")
         return True
 
-    # The steps of a request, from admission to the response.
+    # Processing of a request, from admission to the response.
 
     def admit(self, client_request: ClientRequest) -> Request:
         """Convert a client's request to the form that the policy uses, and record it in the log."""
@@ -181,7 +181,7 @@
         self.local_cache.put(request.object_id, request.part, entry, purged_at)
 
     def answer_immediately(self, client_request: ClientRequest, request: Request) -> Response | None:
-        """Submit an admitted request; return its response if decided at once, else None: then call `run`."""
+        """Submit an admitted request; return its response, or None if it must be completed by `run`."""
         try:
             decision = self._submit(client_request, request)
             if decision is None:
@@ -248,7 +248,7 @@
             progress.served = upstream_result
         else:
             self.upstream_client.release_body(upstream_result)
-        progress.object_missing = _is_missing_at_origin(order, upstream_result)
+        progress.object_missing = _is_object_missing(order, upstream_result)
         self._request_log.attempt_ended(client_request, order, upstream_result)
         if upstream_result.response:
             self.driver.record_load_report(order.attempt.upstream, upstream_result.response.load_report())
@@ -291,8 +291,8 @@
         )
 
 
-def _is_missing_at_origin(order: AttemptOrder, upstream_result: UpstreamResult) -> bool:
-    """Return whether an attempt ended with the origin's response that the object is missing."""
+def _is_object_missing(order: AttemptOrder, upstream_result: UpstreamResult) -> bool:
+    """Return whether an attempt ended with a miss of the origin, or of its upstream if it allowed no fill."""
     if upstream_result.result is not AttemptResult.MISS or order.only_if_cached:
         return False
     source = order.attempt.fill_source
--- a/marbleglade/runtime/shutdown.py
+++ b/marbleglade/runtime/shutdown.py
@@ -1,15 +1,19 @@
-"""Graceful shutdown: after SIGTERM, a front serves until no request is open and no client may connect."""
+"""Graceful shutdown: after SIGTERM, a front serves until no request is open and no client may connect.
+
+Requests that are still open shortly before the platform kills the process are ended early.
+"""
 
 from __future__ import annotations
 
 from .units import MILLISECOND_NS, SECOND_NS
 
-# Set by the platform: the time after SIGTERM in which new clients may connect, and the minimum time between
-# its end and the kill of a front that has open requests.
+# Both are set by the platform. New clients may connect until CONNECT_WINDOW_NS after SIGTERM. A front that
+# has open requests is killed no earlier than GUARANTEED_DRAIN_NS after the end of this window.
 CONNECT_WINDOW_NS = 700 * MILLISECOND_NS
 GUARANTEED_DRAIN_NS = 3 * SECOND_NS
 
-# Divisors of the drain time and of the connect window; the larger quotient is reserved for last responses.
+# Divisors of the drain time and of CONNECT_WINDOW_NS; the larger quotient is reserved for writing the last
+# responses. The drain time is the longest client timeout, but at most GUARANTEED_DRAIN_NS.
 DRAIN_MARGIN_DIVISOR = 10
 CONNECT_WINDOW_MARGIN_DIVISOR = 7
 
@@ -51,13 +55,14 @@
 
         Args:
             now: The current time, ns.
-            recent_delay: Recent delay of the event loop, ns, which may recur.
+            recent_delay: Recent delay of the event loop, ns, which may recur. Requests are ended earlier by
+                this time, but by at most half of `give_up_after`.
         """
         ahead = min(recent_delay, self.give_up_after // 2)
         return bool(self.requested_at) and now - self.signal_arrived_at >= self.give_up_after - ahead
 
     def may_exit(self, now: int, pending_responses: int) -> bool:
-        """Return whether no response is pending and the connect window for new clients is over."""
+        """Return whether a shutdown was requested, its connect window is over, and no response is pending."""
         return (
             bool(self.requested_at) and now - self.requested_at >= CONNECT_WINDOW_NS and not pending_responses
         )
--- a/marbleglade/service/front_process.py
+++ b/marbleglade/service/front_process.py
@@ -24,7 +24,7 @@
 from .startup_configuration import StartupConfiguration
 from .wiring import build_front
 
-SWEEP_PERIOD_NS = SECOND_NS // 4  # between two checks for idle connections
+SWEEP_PERIOD_NS = SECOND_NS // 4  # minimum time between two runs of the periodic checks in `_sweep`
 MAX_BIND_WAIT_NS = 20 * SECOND_NS  # the platform allows a front 30 s to become ready
 
 
@@ -97,7 +97,10 @@
             self.guard.call("control", self.components.control.leave)
 
     def reload_configuration(self) -> None:
-        """Read the configuration file and the maintenance plan again and apply them."""
+        """Read and apply the configuration file again.
+
+        A front with fleet and maintenance also reads and applies the maintenance plan again.
+        """
         self.guard.call("configuration_reload", self.configuration_reload.reload)
         if self.components.fleet and self.components.maintenance:
             self.guard.call("configuration_reload", self.components.fleet.reload_plan)
@@ -122,7 +125,8 @@
         for loop in self.components.loops():
             gevent.spawn(loop)
         if self.components.fleet and self.components.maintenance:
-            # Asks the peers which machines are out of service before this front serves requests.
+            # Queries the peers for the machines out of service before this front accepts clients. Their
+            # replies are not awaited here.
             self.guard.call("fleet", self.components.fleet.tick)
         self.accept_greenlet = gevent.spawn(self.client_listener.accept, self.listener)
         gc.freeze()  # the collector skips the objects created at startup, which live on
@@ -181,7 +185,11 @@
         return next_timer_at if isinstance(next_timer_at, int) else 0
 
     def _may_exit(self) -> bool:
-        """Return whether no response is pending and nothing is unread; accepts clients from the backlog."""
+        """Return whether the process may exit, after a shutdown request and the end of the connect window.
+
+        No response may be pending. Unless open requests must be ended now, connections in the backlog are
+        accepted, and neither such a connection nor unread bytes may have been found.
+        """
         pending = len(self.driver.open_requests) or self.client_listener.connections.has_pending_work
         if not self.shutdown.may_exit(clock.now(), pending):
             return False
@@ -192,7 +200,7 @@
         return self.shutdown.must_end_requests(clock.now(), self.loop.recent_delay())
 
     def _sweep(self) -> None:
-        """Run the periodic checks, four times a second."""
+        """Run the periodic checks of upstream connections, client connections and peers if they are due."""
         if clock.now() - self.swept_at < SWEEP_PERIOD_NS:
             return
         self.swept_at = clock.now()
@@ -214,7 +222,10 @@
     # Shutdown.
 
     def end(self) -> None:
-        """Close all client connections. No response is pending, as no greenlet has run since `_may_exit`."""
+        """Stop accepting clients, close the listener and all client connections, and log the counters.
+
+        No response is pending, as no greenlet has run since `_may_exit`.
+        """
         if self.accept_greenlet:
             self.accept_greenlet.kill(block=False)
         self.listener.close()
--- a/marbleglade/settings/reader.py
+++ b/marbleglade/settings/reader.py
@@ -1,4 +1,4 @@
-"""Validated access to the JSON settings: every value is checked for type and range as it is read."""
+"""Validated access to the JSON settings: values are checked for type, and numbers for range, when read."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         return self.value[key]
 
     def number(self, key: str, minimum: float = 0) -> float:
-        """Return a required number within its range; an absurd one would make a front fail much later."""
+        """Return a required number within its range; one out of range could make a front fail much later."""
         value = self.value.get(key)
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise InvalidSettingError(f"setting {self.path}{key} is missing or not a number: {value!r:.40}")
@@ -60,7 +60,7 @@
         return value
 
     def optional_number(self, key: str, default: float = 0, minimum: float = 0) -> float:
-        """Return a number, or the default if the key is absent or null."""
+        """Return a number, or the default if the key is absent or null; the default is not checked."""
         return self.number(key, minimum) if self.has(key) else default
 
     def integer(self, key: str, minimum: int = 0) -> int:
@@ -71,11 +71,11 @@
         return int(value)
 
     def optional_integer(self, key: str, default: int = 0, minimum: int = 0) -> int:
-        """Return a whole number, or the default if the key is absent or null."""
+        """Return a whole number, or the default if the key is absent or null; the default is not checked."""
         return self.integer(key, minimum) if self.has(key) else default
 
     def numbers(self, key: str, required: bool = True) -> list[float]:
-        """Return a list of numbers, with null as 0; empty if the key is absent and not required."""
+        """Return a list of numbers, null items as 0; empty if not required and the key is absent or null."""
         values = self.require(key, list) if required or self.has(key) else []
         return [SettingsReader({key: value}, self.path).optional_number(key) for value in values]
 
@@ -87,11 +87,11 @@
         return values
 
     def time(self, key: str, minimum_ms: float = 0) -> int:
-        """Return a required time, which is set in milliseconds, in nanoseconds."""
+        """Return a required time in ns; the setting is in ms."""
         return round(self.number(key, minimum_ms) * MILLISECOND_NS)
 
     def optional_time(self, key: str) -> int:
-        """Return a time, which is set in milliseconds, in nanoseconds; 0 if the key is absent or null."""
+        """Return a time in ns, 0 if the key is absent or null; the setting is in ms."""
         return self.time(key) if self.has(key) else 0
 
     def section(self, key: str) -> SettingsReader:
--- a/marbleglade/state/purge_history.py
+++ b/marbleglade/state/purge_history.py
@@ -8,7 +8,8 @@
 from ..model.parameters import Parameters
 
 UNKNOWN_GROUP = 256  # stands for "not known": a purge of any group may apply to the object
-MAX_RECORDS = 1 << 16  # more than the 43,200 purges of an hour at 12 per second, which may arrive at once
+# More than the 43,200 purges of one hour at 12 per second, as all purges of an hour may arrive at once.
+MAX_RECORDS = 1 << 16
 
 
 def purge_retention(parameters: Parameters) -> int:
@@ -22,11 +23,11 @@
 
 
 class PurgeRecord(NamedTuple):
-    """One purge; times are in nanoseconds of the front's clock.
+    """Purges of one object or group, or several merged records; times are ns of the front's clock.
 
     Attributes:
-        notified_at: Time at which this front was notified of the purge.
-        purged_at: Time of the purge; responses issued before it are invalid.
+        notified_at: Time at which this front was last notified of a purge.
+        purged_at: Time of the latest purge; responses issued before it are invalid.
     """
 
     notified_at: int
@@ -34,7 +35,10 @@
 
 
 class PurgeHistory:
-    """The recent purges by object and by group. The cost of a call does not grow with their number.
+    """The recent purges by object and by group.
+
+    Lookups take constant time, and `add` takes constant time on average. Expired records are dropped only by
+    `add`, so lookups may still find them until the next call of `add`.
 
     Args:
         retention: Time for which a purge is kept, ns.
@@ -52,8 +56,8 @@
         self.max_records = max_records
         # By ("object", id) or ("group", number), in order of notification, the oldest first.
         self.records: OrderedDict[tuple[str, int], PurgeRecord] = OrderedDict()
-        # The group purges not followed by the notification of a group purge with an equal or later
-        # `purged_at`. The first record has the latest `purged_at` of all, the last the latest `notified_at`.
+        # Group purges in order of notification. A new record removes the records that have no later
+        # `purged_at`, so the first record has the latest `purged_at` and the last the latest `notified_at`.
         self._group_records: deque[PurgeRecord] = deque()
         self._merged: PurgeRecord | None = None
 
@@ -75,15 +79,24 @@
         return any(record.notified_at > moment for record in self._applicable(object_id, group))
 
     def latest(self, object_id: int, group: int) -> int:
-        """Return the time of the last purge of the object or group, ns; 0 if none within the retention."""
+        """Return an upper bound of the time of the last purge of the object or group, ns; 0 if none is known.
+
+        The result may be later than that purge, as merged records apply to every object.
+        """
         return max((record.purged_at for record in self._applicable(object_id, group)), default=0)
 
     def latest_of_any_group(self) -> int:
-        """Return the time of the last purge of any group, ns; 0 if none within the retention."""
+        """Return an upper bound of the time of the last purge of any group, ns; 0 if none is known.
+
+        The result may be the time of an object's purge if that was merged.
+        """
         return self.latest(0, UNKNOWN_GROUP)
 
     def _applicable(self, object_id: int, group: int) -> list[PurgeRecord]:
-        """Return the applicable records with the latest `purged_at` and the latest `notified_at`."""
+        """Return records that apply to the object or group.
+
+        They include those with the latest `purged_at` and the latest `notified_at` of all applicable records.
+        """
         if not self.records:
             return []
         records = [self._merged] if self._merged else []
--- a/marbleglade/transport/client_registry.py
+++ b/marbleglade/transport/client_registry.py
@@ -88,7 +88,7 @@
 
     @property
     def has_pending_work(self) -> bool:
-        """Whether any connection has a message to be handled or a response to be written."""
+        """Whether any open connection has a message to be handled or a response to be written."""
         return any(client.has_pending_work for client in self.open)
 
     def add(self, client: ClientConnection[RequestT]) -> None:
@@ -97,24 +97,29 @@
         self._counters.add("client.accepted")
 
     def enforce_limit(self, newest: ClientConnection[RequestT]) -> None:
-        """If there are too many connections, close the least important idle one, or else `newest`."""
+        """If there are too many connections, close one of them.
+
+        The order of preference is: a connection that is closing already, the least important idle connection,
+        and `newest`.
+        """
         if len(self.open) + len(self.closing) <= self._max_connections:
             return
         self._counters.add("client.over_share")
-        if self.closing:  # its responses are written, and it only holds a descriptor
+        if self.closing:  # all responses on these connections are written: they only hold descriptors
             all_read = (client for client in self.closing if not has_unread_bytes(client.sock))
             self.close(next(all_read, next(iter(self.closing))), CloseReason.OVER_LIMIT_CLOSING)
             return
         # A connection with unread bytes is not idle, since they may hold a request.
-        by_importance = self._without_pending_responses_by_importance()
+        by_importance = self._without_pending_work_by_importance()
         idle = next((client for client in by_importance if not has_unread_bytes(client.sock)), newest)
         self.close(idle, CloseReason.OVER_LIMIT)
 
-    def _without_pending_responses_by_importance(self) -> list[ClientConnection[RequestT]]:
-        """Return the connections without pending responses, least important first.
+    def _without_pending_work_by_importance(self) -> list[ClientConnection[RequestT]]:
+        """Return the open connections without unhandled messages or pending responses, least important first.
 
-        The order is: connections that never sent a complete message, connections that never sent a request,
-        the others by idle time, longest first, and last the connections too new to have sent a message.
+        The order is: connections that have sent no complete message, connections that have sent messages but
+        no request, and the others. Within each of these, the connection that has been idle longest comes
+        first. New connections, still within `NEW_CLIENT_GRACE_NS` and without a message, come last of all.
         """
         recently = self._clock() - NEW_CLIENT_GRACE_NS
         return sorted(
@@ -130,7 +135,7 @@
     def close_largest_partial_frame(self) -> bool:
         """Close the connection with the largest partial frame, and return whether one was closed.
 
-        Connections with pending responses are not closed.
+        Connections with unhandled messages or pending responses are not closed.
         """
         candidates = [
             client for client in self.open if client.partial_frame_bytes and not client.has_pending_work
@@ -144,7 +149,10 @@
         return True
 
     def sweep(self) -> None:
-        """Close connections whose time limit for idling, for a message or for a graceful close has passed."""
+        """Close connections whose time limit for idling, for a message or for a graceful close has passed.
+
+        Open connections with unread bytes, unhandled messages or pending responses are not closed.
+        """
         now = self._clock()
         for client in [client for client, until in self.closing.items() if now > until]:
             # Closing a socket with unread bytes resets the connection, which loses responses in transit. So
@@ -165,7 +173,10 @@
         self.close(client, reason)
 
     def close_if_finished(self, client: ClientConnection[RequestT]) -> None:
-        """Close a connection whose input has ended, once no response is pending on it."""
+        """Close a connection whose further input is discarded, if it has no pending message or response.
+
+        It is closed at once if its client has half-closed it, else gracefully.
+        """
         if not client.input_ended or client.has_pending_work or client.closed:
             return
         if client.half_closed:
@@ -179,7 +190,7 @@
             self.close_gracefully(client)
 
     def close_gracefully(self, client: ClientConnection[RequestT]) -> None:
-        """Shut down a connection for writing, and read it until its client closes the other direction.
+        """Shut down a connection for writing; its reader discards further input until the connection ends.
 
         Closing a socket with unread bytes would reset the connection, and the client would lose the responses
         that it has not read yet.
@@ -216,6 +227,6 @@
             self._guard.call("client_disconnected", self._service.client_disconnected, request)
 
     def drop_partial_frame(self, client: ClientConnection[RequestT]) -> None:
-        """Subtract the bytes of a connection's partial frame from the buffered bytes."""
+        """Subtract a connection's partial frame from the count of buffered bytes; the frame itself stays."""
         self.buffers.used -= client.partial_frame_bytes
         client.partial_frame_bytes = 0
--- a/marbleglade/transport/event_sequence.py
+++ b/marbleglade/transport/event_sequence.py
@@ -14,7 +14,7 @@
 
 
 class MissingEventError(InvalidLineError):
-    """An index was skipped: the events after the last handled one have to be requested again."""
+    """An index was skipped: the events after `EventSequence.last_index` have to be requested again."""
 
 
 class EventNotAppliedError(InvalidLineError):
@@ -30,7 +30,8 @@
 
     Attributes:
         handle_event: Applies an event; if it raises an exception, the event is requested once more.
-        handle_heartbeat: Handles a heartbeat; its argument says whether all events sent so far were handled.
+        handle_heartbeat: Handles a heartbeat; its argument says whether all events sent so far were handled
+            or skipped.
         handle_index_restart: Called when the service has restarted its indexes.
     """
 
@@ -40,21 +41,24 @@
 
 
 class EventSequence:
-    """Passes each event on exactly once, in the order of the indexes.
+    """Passes events on in the order of their indexes and drops duplicates.
 
-    A gap, a line that can't be decoded and an event that can't be applied each end the connection, so that
-    the events are requested again, but only once for the same index. If the same fault occurs again, the gap,
-    line or event is skipped, since the events after it are needed too.
+    There are three faults: a gap in the indexes, an undecodable line, and an event that can't be applied. A
+    fault ends the connection, so that the events after `last_index` are requested again, which passes an
+    event that could not be applied on a second time. If the same fault occurs again at the same index, the
+    gap, line or event is skipped, since the events after it are needed too.
 
     Args:
-        last_index: Index of the last event that was handled before.
+        last_index: Initial value of the attribute `last_index`.
         callbacks: The functions that handle the events.
         guard: Counts and logs errors.
-        accept_restart: Whether the service may restart its indexes; if not, lower indexes are old ones.
+        accept_restart: Whether the service may restart its indexes. If not, a heartbeat with a lower index is
+            out of date.
 
     Attributes:
-        last_index: Index of the last event that was handled.
-        confirmed_at: When a heartbeat last confirmed that no event is missing, ns; 0: never.
+        last_index: Index of the last event that was applied, skipped or of an unknown kind.
+        confirmed_at: When a heartbeat last confirmed that no event after `last_index` has been sent, ns; 0 if
+            none has confirmed it yet.
     """
 
     def __init__(
@@ -66,17 +70,19 @@
         self._guard = guard
         self._counters = guard.counters
         self._accept_restart = accept_restart
-        # The index at which events were last requested again, for each reason to do so. For a gap and an
-        # undecodable line it is the last index before them, otherwise the index of the event.
+        # For each fault, the index at which it last caused a new request. For a gap and an undecodable line,
+        # this is the value of `last_index` at that time; for an event that can't be applied, its own index.
         self._gap_retry_index = NO_INDEX
         self._undecodable_retry_index = NO_INDEX
         self._apply_retry_index = NO_INDEX
 
     def decode(self, decoder: EventDecoder, data: bytes | memoryview) -> Iterator[WatchEvent]:
-        """Yield the events in the bytes of a connection; a line that is undecodable again is skipped.
+        """Yield the events in the bytes of a connection.
+
+        An undecodable line is skipped if events were requested again already for one at the same index.
 
         Raises:
-            GarbledLineError: A line can't be decoded and has to be requested again.
+            GarbledLineError: A line is undecodable, and events have to be requested again.
         """
         while True:
             try:
@@ -90,10 +96,12 @@
                 data = b""
 
     def receive(self, event: WatchEvent) -> None:
-        """Handle an event if its index is the next one; an event that was handled before has no effect.
+        """Handle an event if its index is the next one, or if the gap before it was requested again already.
+
+        An event whose index is not above `last_index` has no effect.
 
         Raises:
-            InvalidLineError: Events have to be requested again, from `last_index`.
+            InvalidLineError: The events after `last_index` have to be requested again.
         """
         if isinstance(event, Heartbeat):
             self._receive_heartbeat(event)
@@ -122,7 +130,7 @@
         self._callbacks.handle_heartbeat(complete)
 
     def _check_gap(self, index: int, highest_expected: int) -> None:
-        """Raise `MissingEventError`, once per last index, if `index` shows that events are missing."""
+        """Raise `MissingEventError` if `index` shows that events are missing, but once per `last_index`."""
         if index > highest_expected and self._gap_retry_index != self.last_index:
             self._gap_retry_index = self.last_index
             raise MissingEventError(f"expected an index up to {highest_expected}, received {index}")
@@ -131,7 +139,7 @@
         try:
             self._callbacks.handle_event(event)
         except Exception as error:
-            # The event is requested once more before its index counts as handled, as it may drain a cache.
+            # The event may drain a cache, so it is requested once more before it is skipped.
             self._guard.record("event", error)
             if self._apply_retry_index != event.index:
                 self._apply_retry_index = event.index
--- a/marbleglade/transport/upstream_client.py
+++ b/marbleglade/transport/upstream_client.py
@@ -25,9 +25,12 @@
 from .response_reader import ResponseReader
 from .upstream_connection import InFlightRequest, UpstreamConnection, UpstreamResult
 
-LOAD_REPORT_REQUEST_ID_FORMAT = "look%d"  # numbered within the process; clients choose the ids of attempts
+# Load report requests are numbered within the process. Their ids differ from those of attempts, which are
+# trace ids of 16 hex digits.
+LOAD_REPORT_REQUEST_ID_FORMAT = "look%d"
 
-# Writes a request to a connection. Returns None if it was written, otherwise the result of the request.
+# Writes a request to a connection. Returns None if the request was written or already has a result, otherwise
+# the result of the request.
 WriteRequest = Callable[[InFlightRequest, UpstreamConnection], UpstreamResult | None]
 
 
@@ -110,8 +113,8 @@
     def request_load_report(self, upstream: Upstream, timeout: int) -> dict[str, float]:
         """Return an upstream's load report, or an empty one if none was received within `timeout` ns.
 
-        On the wire this is a health check. Its result neither opens nor closes a circuit: only a half-open
-        probe, which is an attempt, restores an ejected upstream.
+        On the wire this is a health check. Its result neither ejects nor restores an upstream: only a
+        half-open probe, which is an attempt, restores an ejected upstream.
         """
         self._load_report_requests += 1
         request_id = LOAD_REPORT_REQUEST_ID_FORMAT % self._load_report_requests
@@ -156,7 +159,7 @@
                 result = request.result.get() or UpstreamResult(AttemptResult.CANCELLED)
         finally:
             if not request.result.ready():
-                request.result.set(None)  # tells a greenlet that is still connecting not to send it
+                request.result.set(None)  # a greenlet that is still connecting then sends nothing
             self._cancel_unanswered(request)
         return result or UpstreamResult(AttemptResult.TIMEOUT)
 
@@ -257,9 +260,9 @@
     def _cancel_unanswered(self, request: InFlightRequest) -> None:
         """Send a cancel for a request that has ended on this side without a response.
 
-        Its connection is closed unless other requests share it: a cache that does not respond may be stuck,
-        and the next request on the connection would be lost too. A shared connection is the last choice for
-        new requests until the cache responds on it.
+        Its connection is closed unless other requests share it: an upstream that does not respond may be
+        stuck, and the next request on the connection would be lost too. A shared connection is the last
+        choice for new requests until the upstream responds on it.
         """
         connection, request.connection = request.connection, None
         if connection is None or connection.in_flight.get(request.id) is not request:
