--- a/marbleglade/policy/failure_attribution.py
+++ b/marbleglade/policy/failure_attribution.py
@@ -74,7 +74,7 @@
             self._host.cancel_attempt(attempt)
 
     def _is_outlier(self, upstream: Upstream, now: int) -> bool:
-        """Return whether an upstream, not yet ejected, has a much higher error rate than its peers.
+        """Return whether an upstream whose circuit is not open has a much higher error rate than its peers.
 
         If all fail equally there is no outlier, and an ejection would only move the load to the others.
         """
--- a/marbleglade/policy/link_model.py
+++ b/marbleglade/policy/link_model.py
@@ -18,10 +18,12 @@
 # Every slowdown estimate includes a prior, weighted like work of a sixteenth of the window, so that a few
 # transfers outweigh it.
 PRIOR_WINDOW_DIVISOR = 16
-FLEET_EVIDENCE_WEIGHT = 8  # factor on the prior's weight if the fleet observed it: equals half a window
+# Factor on the prior's weight if the prior is the slowdown observed by the fleet. It then weighs like half a
+# window.
+FLEET_EVIDENCE_WEIGHT = 8
 
-# Number of transfers of this front. If a link is slow with no more than these, it was not this front that
-# filled it, so its capacity cannot be derived from them.
+# If a link is congested while this front has on average at most this many transfers on it, other fronts have
+# filled it, and its capacity cannot be derived from this front's transfers.
 MIN_CONGESTED_CONCURRENCY = 2
 CAPACITY_GAIN = 1 / 8  # weight of one observation in the capacity estimate of a congested link
 CAPACITY_GROWTH = 0.1  # transfers added to the capacity by each observation without congestion
@@ -71,7 +73,7 @@
         self.group = group
         self.in_flight = 0  # transfers of this front
         self.capacity = 0.0  # transfers of this front at full throughput; 0 if no limit was observed
-        self.loss_rate = 0.0  # recent share of attempts without an answer in time
+        self.loss_rate = 0.0  # recent share of attempts that ended late without success
         self.work_done = DecayingSum(now, window)
         self.time_spent = DecayingSum(now, window)
         self.concurrent_time = DecayingSum(now, window)  # time spent times transfers in flight
@@ -83,7 +85,9 @@
         self.fleet_slowdown_until = 0  # time at which `fleet_slowdown` expires, ns
 
     def slowdown(self, now: int) -> float:
-        """Return the ratio of recent time spent to time at full throughput; the prior comes from the group.
+        """Return the ratio of recent time spent to time at full throughput, weighted with a prior.
+
+        The prior is the fleet's observation while that is valid, else the slowdown of the group.
 
         The call also decays the sums to `now`. Decay in two steps differs from decay in one step, so an
         additional call changes later results.
@@ -109,7 +113,10 @@
         return int(work * max(NO_SLOWDOWN, (own_load + others_load) / self.fleet_size))
 
     def record_probe(self, succeeded: bool, now: int, min_backoff: int) -> None:
-        """Record a probe of a congested link: success halves the recent time spent, failure backs off.
+        """Record a probe of a congested link.
+
+        Success halves the recent time spent, but not below the time at full throughput. Failure delays the
+        next probe.
 
         Args:
             succeeded: Whether the probe was answered in time.
@@ -150,7 +157,11 @@
         self.total_time += time_spent
 
     def _adjust_capacity(self, throughput: float, concurrency: float) -> None:
-        """Move the capacity estimate towards the number of transfers that the link carried recently.
+        """Update the capacity estimate.
+
+        While the link is congested, the estimate starts at the concurrency and approaches the number of
+        transfers at full throughput that the link carried recently. Otherwise it grows, but only if more than
+        `BUSY_SHARE` of it is in use.
 
         Args:
             throughput: Throughput of one transfer relative to an idle link, 0 to 1.
--- a/marbleglade/policy/link_observation.py
+++ b/marbleglade/policy/link_observation.py
@@ -9,7 +9,8 @@
 from .link_model import CONGESTED_THROUGHPUT, LinkModel, LinkReservation
 from .upstream_health import EJECTION_ERROR_RATE, ERROR_RATE_WEIGHT
 
-CAPACITY_STEP = ERROR_RATE_WEIGHT / 4  # transfers that a response in time adds to the capacity of a full link
+# Transfers that a response in time adds to the capacity of a full link, if its duration is not evidence.
+CAPACITY_STEP = ERROR_RATE_WEIGHT / 4
 # Share of recent attempts without an answer in time, above which a late failure indicates congestion. A
 # single lost response among many says nothing about the link.
 CONGESTION_LOSS_RATE = EJECTION_ERROR_RATE / 2
@@ -19,7 +20,7 @@
 
 
 class LinkObserver:
-    """Records the results of attempts in the link models, and object sizes in the object histories."""
+    """Records the results of attempts in the link models, and transfer times in the object histories."""
 
     def __init__(self, host: PolicyHost, durations: Durations) -> None:
         self._host = host
@@ -78,7 +79,10 @@
         return min(attempt.latency - network_allowance(request), expected_time * MAX_EXPECTED_TIMES)
 
     def _observe_size(self, attempt: Attempt) -> None:
-        """Record the size of an object if its request did not state it and a body was received."""
+        """Record the shortest latency of an object as its transfer time.
+
+        Only attempts that received a body count, and only if the request did not state the size.
+        """
         succeeded = attempt.result is AttemptResult.OK
         if not attempt.request.size_kb and succeeded and not attempt.not_modified:
             history = attempt.request.context.history
--- a/marbleglade/policy/object_history.py
+++ b/marbleglade/policy/object_history.py
@@ -15,10 +15,10 @@
 class ObjectHistory:
     """The request history of one part of an object."""
 
-    uses: int = 0  # number of requests
+    uses: int = 0  # number of requests, without client retries
     transfer_time: int = 0  # ns at full throughput; 0 if unknown
-    likely_holder: Upstream | None = None  # the cache that sent the last answer
-    answered_at: int = 0  # time of that answer, ns
+    likely_holder: Upstream | None = None  # the cache that last served the part and should hold it
+    answered_at: int = 0  # when that cache last served the part, ns
 
 
 class ObjectHistories:
--- a/marbleglade/policy/policy.py
+++ b/marbleglade/policy/policy.py
@@ -137,7 +137,7 @@
         self._admission.handle_request(request)
 
     def client_disconnected(self, request: Request) -> None:
-        """Cancel the attempts in flight of a request whose client has disconnected."""
+        """Cancel the attempts in flight of a request whose client has disconnected, if that is enabled."""
         for attempt in request.attempts:
             if attempt.result is None and self.parameters.can_cancel:
                 self.host.cancel_attempt(attempt)
@@ -196,7 +196,7 @@
         )
 
     def preferred_upstreams(self, count: int) -> list[list[Upstream]]:
-        """Return the zone's caches in rendezvous order, for each of the `count` most requested objects."""
+        """Return the zone's caches in rendezvous order for each of the `count` most requested parts."""
         caches = self.upstreams.zone_caches
         most_used = self.histories.most_used(count)
         return [rank_by_rendezvous(caches, object_id, part) for object_id, part in most_used]
--- a/marbleglade/policy/rejection_reasons.py
+++ b/marbleglade/policy/rejection_reasons.py
@@ -14,7 +14,7 @@
     """Why the routing stage selects no cache for a request."""
 
     NONE_ACTIVE = "no active cache in the zone"
-    NONE_ADMITTED = "no cache admitted"  # excluded by slow start, or because a repeat is unsafe
+    NONE_ADMITTED = "no cache admitted"  # slow start excludes every cache, or a repeat there is unsafe
     CACHE_LINK_CONGESTED = "cache's own link congested"
     ZONE_LINK_NOT_FREE = "cache's own link congested, zone not reported free"
 
--- a/marbleglade/policy/request_context.py
+++ b/marbleglade/policy/request_context.py
@@ -20,6 +20,6 @@
     objective_at: int = 0  # time at which the latency objective ends, ns
     cache_priority: int = 1
     response_started: bool = False
-    is_fill_probe: bool = False  # whether it was sent to test if fills are still slow
-    avoided: list[Upstream] = field(default_factory=list)  # excluded from retries: suspected or lacking it
-    unexplained_errors: list[Attempt] = field(default_factory=list)  # the object may not exist
+    is_fill_probe: bool = False  # whether an attempt was sent to probe the fill links
+    avoided: list[Upstream] = field(default_factory=list)  # by retries: suspected, or without the object
+    unexplained_errors: list[Attempt] = field(default_factory=list)  # errors of an object that may not exist
--- a/marbleglade/policy/retry_safety.py
+++ b/marbleglade/policy/retry_safety.py
@@ -9,8 +9,9 @@
 def may_send_to(request: Request, upstream: Upstream, now: int) -> bool:
     """Return whether an attempt at an upstream cannot repeat the effect of the request.
 
-    A request that may have run is sent only to upstreams that would detect the duplicate. It is sent nowhere
-    if it must not be repeated or if its deduplication window has ended.
+    Requests of an `IDEMPOTENT` class may be sent anywhere. Any other request that may have run is sent only
+    to upstreams that would detect the duplicate. It is sent nowhere if it must not be repeated or if its
+    deduplication window has ended.
     """
     request_class = request.request_class
     first = next((each for each in request.attempts if each.may_have_run), None)
--- a/marbleglade/policy/stages/dispatch.py
+++ b/marbleglade/policy/stages/dispatch.py
@@ -24,7 +24,8 @@
 # Share of a failure that is attributed to the fill source when an attempt that expects a fill is rejected:
 # half, because either the source or the cache may be overloaded.
 REJECTING_SOURCE_SHARE = 1 / 2
-# An attempt is overdue when it exceeds its transfer time by the latency objective divided by this number.
+# An attempt is first checked when the latency objective has ended, but not before the attempt exceeds its
+# transfer time by the latency objective divided by this number.
 OVERDUE_OBJECTIVE_DIVISOR = 2
 CONNECTION_FAILURES = (AttemptResult.RESET, AttemptResult.CONNECT_FAILED)
 
@@ -166,8 +167,9 @@
 
     @staticmethod
     def _upstreams_to_avoid(attempt: Attempt) -> list[Upstream]:
-        """Return the upstreams that a retry should avoid: first the source, after a second failure the cache.
+        """Return the upstreams that a retry should avoid.
 
+        This is the cache if it did not respond or if the source is avoided already, else the source.
         After a second error of an object that may not exist, the retry avoids both. Its result then shows
         whether the upstreams caused the errors.
         """
--- a/marbleglade/policy/stages/fill_source.py
+++ b/marbleglade/policy/stages/fill_source.py
@@ -44,7 +44,7 @@
         self._dispatch.send(request, cache, self._select_source(parent, request, cache, now))
 
     def holders(self, request: Request, now: int) -> list[Upstream]:
-        """Return the active caches that the directory lists for the object."""
+        """Return the active caches for which the directory has a recent entry of the requested part."""
         entries = self._directory.caches(request.object_id, request.part)
         oldest = now - self._observation_lifetime
         return [
@@ -54,7 +54,7 @@
         ]
 
     def handle_result(self, attempt: Attempt) -> bool:
-        """Update the directory and the mean fill latency of the source."""
+        """Update the directory and the mean fill latency of the source, and pass the result on."""
         request, source = attempt.request, attempt.fill_source
         if attempt.result is AttemptResult.OK and not request.context.response_started:
             self._record_holder(attempt)
@@ -65,7 +65,10 @@
         return True
 
     def _select_source(self, parent: Upstream, request: Request, cache: Upstream, now: int) -> Upstream:
-        """Return the least loaded sibling that holds the object, unless the parent fills faster.
+        """Return the least loaded sibling that holds the object, or the parent.
+
+        The parent is returned if siblings may not fill this request, if none holds the object, or if the
+        parent fills faster.
 
         Args:
             parent: The parent or origin; `cache` if there is neither.
--- a/marbleglade/policy/stages/retry.py
+++ b/marbleglade/policy/stages/retry.py
@@ -12,7 +12,8 @@
 from ..retry_budget import RETRY_PRICE, RetryBudget
 from .stage import RequestStage
 
-QUICK_REJECTION_PRICE = RETRY_PRICE / 4  # price of a retry after an attempt that was rejected quickly
+# Price of a retry after an attempt that ended quickly without having run.
+QUICK_REJECTION_PRICE = RETRY_PRICE / 4
 STALE_ENTRY_PRICE = 0  # price of a retry after a miss at a sibling that the directory still listed
 MAX_UNEXPLAINED_ERRORS = 2  # with more errors, an object of unknown size is taken as not existing
 
--- a/marbleglade/policy/stages/routing.py
+++ b/marbleglade/policy/stages/routing.py
@@ -35,8 +35,9 @@
 class Routing:
     """Sends a request to the first usable cache in rendezvous hash order that can respond in time.
 
-    If no cache can, a non-idempotent request is sent to the fastest one. Any other request is sent where
-    links are not congested, which may be a parent, or is rejected.
+    If no cache can, a request of a class that is not `IDEMPOTENT` is sent to the fastest one. A request of an
+    `IDEMPOTENT` class is then sent where links are not congested, which may be a parent, or is rejected. The
+    same is done if its fill would overload the origin. Without a usable cache, a parent may respond directly.
     """
 
     def __init__(
--- a/marbleglade/policy/upstream_health.py
+++ b/marbleglade/policy/upstream_health.py
@@ -32,7 +32,7 @@
         self.last_response_at = now
         self.contents_lost_at = now  # objects observed earlier are assumed lost
         self.error_rate = 0.0
-        self.circuit_open_until = 0  # then half-open (one probe at a time); 0 if closed
+        self.circuit_open_until = 0  # ns; after it half-open (one probe at a time); 0 if closed
         self.half_open_probe: Attempt | None = None
         self.probe_delegated_until = 0  # until then another front probes this upstream
         self.suspected_until = 0  # until then many other fronts report it as ejected
@@ -57,7 +57,10 @@
         return now >= max(self.circuit_open_until, self.probe_delegated_until) and not self.half_open_probe
 
     def record_result(self, failure: float, now: int) -> None:
-        """Record a result: 0 for a success, else the share of a failure attributed to this upstream."""
+        """Record a result: 0 for a success, else the share of a failure attributed to this upstream.
+
+        A success after the end of the ejection time closes the circuit.
+        """
         self.error_rate += (failure - self.error_rate) * ERROR_RATE_WEIGHT
         if failure:
             return
@@ -69,7 +72,7 @@
             self.backoff = self.min_backoff
 
     def open_circuit(self, now: int) -> None:
-        """Eject the upstream; the ejection time doubles each time, up to a limit."""
+        """Eject the upstream and assume its contents lost; the time of ejection doubles up to a limit."""
         self.circuit_open_until = now + self.backoff
         self.backoff = min(self.backoff * 2, self.min_backoff * MAX_BACKOFF_FACTOR)
         self.contents_lost_at = now
--- a/marbleglade/state/local_cache.py
+++ b/marbleglade/state/local_cache.py
@@ -84,7 +84,7 @@
                 self._drop(key)
 
     def drop_issued_before(self, issued_at: int) -> None:
-        """Drop all entries issued at or before this time (ns). Scans the whole cache."""
+        """Drop all entries issued up to `PURGE_TOLERANCE` after this time (ns). Scans the whole cache."""
         newest_dropped = issued_at + PURGE_TOLERANCE
         for key in [key for key, entry in self.objects.items() if entry.issued_at <= newest_dropped]:
             self._drop(key)
--- a/marbleglade/state/purge_index.py
+++ b/marbleglade/state/purge_index.py
@@ -1,4 +1,4 @@
-"""An index of the items that a purge applies to. The cost of a lookup depends only on their number."""
+"""An index of the items that a purge applies to. A lookup takes time in proportion to the items found."""
 
 from __future__ import annotations
 
