--- a/marbleglade/policy/stages/routing.py
+++ b/marbleglade/policy/stages/routing.py
@@ -111,10 +111,11 @@
         """Handle a request that no cache can fill in time, or whose fill would overload the origin.
 
         If the selected cache's own link is congested, a parent may respond to the request directly, provided
-        that the zone's link is reported to have capacity. Otherwise only fills are congested. Then a retry
-        is not sent, and a first attempt may be sent as a probe of the fill links. If no probe is due, the
-        preferred cache serves the object only if it is cached there or, provided that the zone's link is
-        reported to have capacity, at a parent.
+        that the zone's link is reported to have capacity. Otherwise only fills are congested, or the origin
+        is close to overload. Then a request that already had an attempt is rejected or failed, and a first
+        attempt may be sent as a probe of the fill links. If no probe is due, the preferred cache serves the
+        object only if it is cached there or, provided that the zone's link is reported to have capacity, at a
+        parent.
 
         Args:
             request: The request.
--- a/marbleglade/policy/timers.py
+++ b/marbleglade/policy/timers.py
@@ -69,8 +69,8 @@
         """Check one attempt whose deadline has passed.
 
         Nothing is done if the attempt or its request has ended or the response has started. If the upstream
-        or the fill source is ejected, the attempt fails over. Otherwise a silent upstream is looked for,
-        congestion is recorded, and another check is scheduled.
+        or the fill source is ejected, the attempt fails over. Otherwise a failure is attributed to a silent
+        upstream, congestion may be recorded, and another check is scheduled.
         """
         request, context = attempt.request, attempt.request.context
         if attempt.result is not None or request.finished or context.response_started:
--- a/marbleglade/transport/event_sequence.py
+++ b/marbleglade/transport/event_sequence.py
@@ -130,7 +130,7 @@
         self._callbacks.handle_heartbeat(complete)
 
     def _check_gap(self, index: int, highest_expected: int) -> None:
-        """Raise `MissingEventError` if `index` shows that events are missing, but once per `last_index`."""
+        """Raise `MissingEventError` if `index` shows missing events, but only once per `last_index`."""
         if index > highest_expected and self._gap_retry_index != self.last_index:
             self._gap_retry_index = self.last_index
             raise MissingEventError(f"expected an index up to {highest_expected}, received {index}")
