--- a/marbleglade/testing/__init__.py
+++ b/marbleglade/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins on loopback that speak the published protocols, and the faults that tests and benchmarks play."""
+"""Stand-ins (test doubles) that speak the published protocols on loopback, and fault injection for tests."""
--- a/marbleglade/testing/cache_client.py
+++ b/marbleglade/testing/cache_client.py
@@ -1,4 +1,4 @@
-"""A client of the caches' protocol on one connection, for requests to a gateway or a stand-in."""
+"""Client of the cache protocol on one connection, for requests to a gateway or a stand-in cache."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class CacheClient:
-    """One connection. Several requests may be in flight on it; responses are matched by id.
+    """One connection to a cache. Several requests may be in flight; responses are matched to them by id.
 
     Attributes:
-        closed: The connection could not be opened, or has ended.
+        closed: Whether the connection could not be opened or has been closed.
     """
 
     _request_ids = itertools.count(1)
@@ -55,16 +55,16 @@
         idempotency_key: str = "",
         body: bytes = b"",
     ) -> UpstreamResponse | None:
-        """Send a request; return its response, or None if there was none in time.
+        """Send a request; return its response, or None if none arrived within `timeout_ms`.
 
         Args:
             class_name: Name of the request class.
-            object_id: 16 hex digits.
+            object_id: Object id as 16 hex digits.
             part: Number of the part of the object.
-            timeout_ms: Time for the response.
-            max_age_ms: Greatest age of a cached response, ms; 0 is `DEFAULT_MAX_AGE`.
-            idempotency_key: By which a repeat is recognized; empty: none.
-            body: What a write sends.
+            timeout_ms: Response timeout in ms, which is also sent to the server.
+            max_age_ms: Maximum age of a cached response in ms; 0 selects `DEFAULT_MAX_AGE`.
+            idempotency_key: Key by which the server recognizes a repeated request; empty for none.
+            body: Request body of a write.
         """
         request = UpstreamRequest(
             f"v{next(self._request_ids)}",
@@ -79,7 +79,7 @@
         return self.send(request.id, request.encode(), timeout_ms)
 
     def send(self, id: str, data: bytes, timeout_ms: int = DEFAULT_TIMEOUT_MS) -> UpstreamResponse | None:
-        """Write the bytes of a message; return the response with its id; None: none came in time."""
+        """Write an encoded message; return the response with this id, or None if none arrived in time."""
         if self.closed:
             return None
         result = self._pending[id] = AsyncResult()
@@ -96,7 +96,7 @@
         return None
 
     def close(self) -> None:
-        """End the connection, and all waits with None."""
+        """Close the connection; all pending requests return None."""
         if self.closed:
             return
         self.closed = True
--- a/marbleglade/testing/cache_server.py
+++ b/marbleglade/testing/cache_server.py
@@ -1,4 +1,4 @@
-"""A stand-in cache, parent or origin on the caches' protocol, with faults that tests set while it runs."""
+"""Stand-in cache, parent or origin that serves the cache protocol, with faults that tests set at run time."""
 
 from __future__ import annotations
 
@@ -28,27 +28,29 @@
 from .upstream_faults import UpstreamFaults
 
 RECORDED_REQUESTS = 1 << 14
-DRAIN_GRACE_SECONDS = 0.3  # in which requests may still come after a drain was announced
+DRAIN_GRACE_SECONDS = 0.3  # after a drain is announced, requests may still arrive for this time
 
 
 class StandInUpstream(UpstreamFaults):
-    """One upstream on loopback. An origin has an object store; others fill misses from their `sources`.
+    """One upstream on loopback. An origin has an object store; a cache or parent fills misses from `sources`.
 
     Args:
-        id: Its name in the endpoint list.
-        object_store: What an origin holds; None: a cache.
-        clock: Unix time in ns; by default that of the object store.
-        warm_up: The load that it bears while it warms up; None: any.
-        effects: How often the body of a non-idempotent request took effect; shared by a region's upstreams.
+        id: Name of the upstream in the endpoint list.
+        object_store: Objects that an origin serves; None for a cache or parent.
+        clock: Returns the Unix time in ns; defaults to the clock of the object store.
+        warm_up: Load limit during slow start; None for no limit.
+        effects: Execution count by body of non-idempotent requests; shared by the upstreams of a region.
 
     Attributes:
-        sources: What requests may name as their fill source: another stand-in, or the address of a server.
-        fill_source: The source from which it fills what another stand-in asks it for; empty: none.
-        freshness_ms: Freshness lifetime by request class; absent: until purged.
-        capacity_model, service_seconds: Its capacity, and the time for one request or fill; None: unbounded.
-        request_count, request_times: The requests that came; the times are monotonic seconds.
-        cache: What it holds.
-        connections: Open connections of clients.
+        sources: Fill sources by the id that requests name: another stand-in, or the address of a server.
+        fill_source: Id of the source used for fills that another stand-in requests; empty for none.
+        freshness_ms: Freshness lifetime in ms by request class; absent classes stay fresh until purged.
+        capacity_model: Capacity limit; None for unbounded.
+        service_seconds: Service time of one request or fill without load, when there is a capacity model.
+        request_count: Number of requests received.
+        request_times: Arrival times of the latest requests, in monotonic seconds.
+        cache: Cached objects.
+        connections: Open client connections.
     """
 
     def __init__(
@@ -62,7 +64,7 @@
         super().__init__()
         if clock is None:
             if object_store is None:
-                raise ValueError("a cache needs a clock")
+                raise ValueError("an upstream needs a clock or an object store, received neither")
             clock = object_store.clock
         self.id, self.object_store, self.clock = id, object_store, clock
         self.effects: Counter[bytes] = Counter() if effects is None else effects
@@ -82,11 +84,11 @@
         self._accept_loop = gevent.spawn(self._accept)
 
     def started_ms(self) -> int:
-        """Return the present Unix time in ms, as the start time of an upstream that has just restarted."""
+        """Return the current Unix time in ms, for use as the start time right after a restart."""
         return self.clock() // NS_PER_MS
 
     def restart(self) -> None:
-        """Stop and start again at the same address, with nothing cached."""
+        """Restart at the same address with an empty cache."""
         self.drop_connections()
         self.cache.clear()
         self.crashed, self.draining = False, False
@@ -94,13 +96,13 @@
             self._warm_up.restart()
 
     def drop_connections(self) -> None:
-        """Close all connections of clients."""
+        """Close all client connections."""
         for sock in list(self.connections):
             sock.close()
         self.connections.clear()
 
     def close(self) -> None:
-        """Stop as a killed process does."""
+        """Close all sockets at once, as when the process is killed."""
         self._accept_loop.kill()
         self._listener.close()
         self.drop_connections()
@@ -157,7 +159,7 @@
             in_flight.pop(message.id, None)
 
     def _respond(self, message: ServerEvent) -> bytes | None:
-        """Return the bytes of a response; None: there is none."""
+        """Return the encoded response, or None if no response is sent."""
         if isinstance(message, HealthCheck):
             fields = {"report": f"inflight:{self.cache.fills_in_flight}"} if message.with_load_report else {}
             return encode_response(message.id, CacheStatus.HEALTHY, fields)
@@ -206,7 +208,7 @@
         return encode_response(request.id, CacheStatus.SERVED, fields, body)
 
     def fetch(self, request: UpstreamRequest) -> ObjectVersion | None:
-        """Return the object if it is held and fresh, or can be filled from the source that is named."""
+        """Return the object if it is cached and fresh or the requested source can fill it, else None."""
         key = PartKey(int(request.object_id, 16), request.part)
         if self.object_store:
             return self.object_store.read(key)
@@ -235,7 +237,7 @@
         return ObjectVersion(response.entity_tag, response.issued_ms, response.body)
 
     def _serve_fill(self, request: UpstreamRequest) -> ObjectVersion | None:
-        """Return an object to another stand-in that fills a miss, without a connection between them."""
+        """Serve a fill for another stand-in by a direct call, without a connection."""
         if self.silent:
             gevent.sleep(request.timeout_ms / 1000)
             return None
--- a/marbleglade/testing/capacity_model.py
+++ b/marbleglade/testing/capacity_model.py
@@ -1,4 +1,4 @@
-"""How a stand-in upstream behaves under load: slower above its capacity, down after an overload."""
+"""Load models of a stand-in upstream: slower above its capacity, unavailable after a lasting overload."""
 
 from __future__ import annotations
 
@@ -8,21 +8,22 @@
 
 import gevent
 
-MIN_ALLOWED_REQUESTS = 4  # in one window; fewer would make a single client an overload
+MIN_ALLOWED_REQUESTS = 4  # per window; with a lower limit a single client would cause an overload
 
 
 class CapacityModel:
-    """Serves `capacity` requests at once at full speed; above it all of them get slower together.
+    """Serves `capacity` concurrent requests at full speed; above that, all requests slow down proportionally.
 
     Args:
-        capacity: Requests in flight that are served at full speed.
-        overload_ratio: In flight over the capacity, above which an upstream is overloaded; 0: never.
-        overload_seconds: How long an overload lasts until the upstream goes down.
-        outage_seconds: How long it is down.
+        capacity: Number of requests in flight that are served at full speed.
+        overload_ratio: Ratio of requests in flight to capacity above which the upstream is overloaded;
+            0 disables outages.
+        overload_seconds: Duration of an overload after which the upstream becomes unavailable.
+        outage_seconds: Duration of the outage.
 
     Attributes:
-        in_flight: Requests that are being served.
-        outage_count: How often it went down.
+        in_flight: Number of requests being served.
+        outage_count: Number of outages so far.
     """
 
     def __init__(
@@ -42,18 +43,18 @@
         self._down_until = 0.0
 
     def serve(self, seconds: float) -> None:
-        """Block for as long as a request takes that alone would take `seconds`."""
+        """Block for the service time of a request, which is `seconds` without other load."""
         now = time.monotonic()
         if now < self._down_until:
             gevent.sleep(self._down_until - now)
         self.in_flight += 1
         try:
-            self._note_load(now)
+            self._track_overload(now)
             gevent.sleep(seconds * max(1.0, self.in_flight / self.capacity))
         finally:
             self.in_flight -= 1
 
-    def _note_load(self, now: float) -> None:
+    def _track_overload(self, now: float) -> None:
         if not self.overload_ratio or self.in_flight <= self.overload_ratio * self.capacity:
             self._overloaded_since = 0.0
             return
@@ -66,14 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmUpLimit:
-    """The load that a cold upstream bears; more than that makes it crash.
+    """Load limit of an upstream during slow start; a higher load makes the upstream crash.
 
     Attributes:
-        initial_share: What it bears at its start, as a share of what it bears when warm.
-        duration_seconds: Time until it is warm; the share rises linearly.
-        overload_factor: What it bears over `warm_rate`.
-        window_seconds: Time over which requests are counted.
-        warm_rate: Requests per second when it is warm.
+        initial_share: Limit at the start as a share of the limit of a warm upstream.
+        duration_seconds: Time until the upstream is warm; the share rises linearly to 1.
+        overload_factor: Ratio of the tolerated request rate to `warm_rate`.
+        window_seconds: Length of the window in which requests are counted.
+        warm_rate: Request rate of a warm upstream, per second.
     """
 
     initial_share: float
@@ -83,26 +84,26 @@
     warm_rate: float
 
     def allowed_requests(self, age_seconds: float) -> float:
-        """Return how many requests in one window it bears, so long after its start."""
+        """Return the maximum number of requests per window at this age of the upstream."""
         share = self.initial_share + (1 - self.initial_share) * age_seconds / self.duration_seconds
         allowed = self.overload_factor * self.warm_rate * self.window_seconds * share
         return max(allowed, MIN_ALLOWED_REQUESTS)
 
 
 class WarmUpModel:
-    """Tells when an upstream gets more requests than it bears while it warms up."""
+    """Detects that an upstream receives more requests than its slow-start limit allows."""
 
     def __init__(self, limit: WarmUpLimit) -> None:
         self.limit = limit
         self.restart()
 
     def restart(self) -> None:
-        """Start to warm up anew."""
+        """Begin slow start again."""
         self._started_at = time.monotonic()
         self._arrivals: deque[float] = deque()
 
     def record_request(self) -> bool:
-        """Count a request; return True if it was one too many."""
+        """Count a request; return whether it exceeds the limit."""
         now = time.monotonic()
         self._arrivals.append(now)
         while self._arrivals[0] < now - self.limit.window_seconds:
--- a/marbleglade/testing/client.py
+++ b/marbleglade/testing/client.py
@@ -1,4 +1,4 @@
-"""A stand-in client of the front's RESP protocol that checks every response strictly."""
+"""Test client of the front's RESP protocol that checks every response strictly."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 STATUSES = ("ok", "full", "fault", "yes", "no")
 CONNECT_TIMEOUT_SECONDS = 2
 STATUS_TIMEOUT_SECONDS = 2
-PATIENCE_FACTOR = 1.5  # how long the client waits, over the time that it states
+RESPONSE_TIMEOUT_FACTOR = 1.5  # time the client waits, relative to the timeout in its request
 RESPONSE_PARTS = 4  # tag, status, fields, body
 
 
 @dataclass(slots=True)
 class ClientResponse:
-    """A response: its status, fields and body; `connection_lost`: the connection ended without one."""
+    """A response, or with `connection_lost` set, a connection that ended before the response."""
 
     status: str
     fields: dict[str, str]
@@ -31,13 +31,13 @@
     """One connection to a front or gateway.
 
     Args:
-        address: Where it connects to.
-        seed: Upper 24 bits of its trace ids.
+        address: Address of the front or gateway.
+        seed: Upper 24 bits of the trace ids.
 
     Attributes:
-        duplicate_responses: Responses beyond the one that each request gets.
-        malformed_responses: Responses that can't be read, or with a status that there is none of.
-        closed: The connection has ended.
+        duplicate_responses: Number of responses beyond the first of each request.
+        malformed_responses: Number of responses that can't be decoded or have an unknown status.
+        closed: Whether the connection has been closed.
     """
 
     trace_ids = itertools.count(1)
@@ -65,16 +65,16 @@
         body: bytes = b"",
         cached_etag: str = "",
     ) -> ClientResponse | None:
-        """Send a request; return its response, or None if there was none in 1.5 times its time-out.
+        """Send a request; return its response, or None if none arrived within 1.5 times its timeout.
 
         Args:
             class_name: Name of the request class.
-            object_id: The object.
-            part: Number of its part.
+            object_id: Id of the object.
+            part: Number of the part of the object.
             group: Purge group of the object.
-            timeout_ms: The time-out that the request states.
-            body: What a write sends.
-            cached_etag: Tag of the object that the client has cached; empty: none.
+            timeout_ms: Client timeout in ms, which the request carries.
+            body: Request body of a write.
+            cached_etag: Entity tag of the client's cached copy; empty for none.
         """
         trace_id = self.seed << 40 & 0xFFFF_FFFF_FFFF_FFFF | next(self.trace_ids)
         fields = (
@@ -88,17 +88,17 @@
             class_name.encode(),
             fields.encode(),
             body,
-            timeout_seconds=timeout_ms * PATIENCE_FACTOR / 1000,
+            timeout_seconds=timeout_ms * RESPONSE_TIMEOUT_FACTOR / 1000,
         )
 
     def status(self) -> ClientResponse | None:
-        """Ask whether the front is ready; None if there is no response in time."""
+        """Send STATUS, which asks whether the front is ready; return None if no response arrives in time."""
         return self.send_command(next(self.tags), b"STATUS", b"", timeout_seconds=STATUS_TIMEOUT_SECONDS)
 
     def send_command(
         self, tag: int, command: bytes, *arguments: bytes, timeout_seconds: float
     ) -> ClientResponse | None:
-        """Write a command under a tag; return its response, or None if there was none in time."""
+        """Write a command with this tag; return its response, or None if none arrived in time."""
         result = self._pending[tag] = AsyncResult()
         parts = (command, b"%d" % tag, *arguments)
         data = b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
@@ -109,7 +109,7 @@
                 return response
         except OSError:
             self.close()
-            return _lost()
+            return _connection_lost_response()
         finally:
             if self._pending.pop(tag, None):
                 self._abandoned_tags.add(tag)
@@ -124,17 +124,17 @@
         self.close()
 
     def _next_frame(self) -> list[bytes] | None:
-        """Cut one array of four bulk strings off the buffer; None while it is incomplete.
+        """Remove one array of four bulk strings from the buffer; return None while it is incomplete.
 
         Raises:
-            ValueError: The buffer begins with something else.
+            ValueError: The buffer does not begin with an array of four bulk strings.
         """
         header_end = self._buffer.find(b"\r\n")
         if header_end < 0:
             return None
         if self._buffer[:header_end] != b"*%d" % RESPONSE_PARTS:
             self.malformed_responses += 1
-            raise ValueError("not an array of four")
+            raise ValueError("expected the header of an array of four bulk strings, received another line")
         position, parts = header_end + 2, []
         for _ in range(RESPONSE_PARTS):
             size_end = self._buffer.find(b"\r\n", position)
@@ -142,7 +142,7 @@
                 return None
             if self._buffer[position : position + 1] != b"$":
                 self.malformed_responses += 1
-                raise ValueError("not a bulk string")
+                raise ValueError("expected the size line of a bulk string, received another line")
             size = int(self._buffer[position + 1 : size_end])
             start = size_end + 2
             if len(self._buffer) < start + size + 2:
@@ -157,7 +157,7 @@
         fields = dict(pair.split("=", 1) for pair in parts[2].decode().split(",")) if parts[2] else {}
         result = self._pending.pop(tag, None)
         if result is None:
-            # A response may cross with the end of the wait for it, but only once.
+            # One response may arrive after its request timed out here; any further response is a duplicate.
             self.duplicate_responses += tag in self._answered_tags or tag not in self._abandoned_tags
             self._abandoned_tags.discard(tag)
             self._answered_tags.add(tag)
@@ -167,14 +167,14 @@
         result.set(ClientResponse(status, fields, parts[3]))
 
     def close(self) -> None:
-        """End the connection, and all waits with a lost connection."""
+        """Close the connection; all pending requests return a response with `connection_lost` set."""
         if self.closed:
             return
         self.closed = True
         self.sock.close()
         for result in list(self._pending.values()):
-            result.set(_lost())
+            result.set(_connection_lost_response())
 
 
-def _lost() -> ClientResponse:
+def _connection_lost_response() -> ClientResponse:
     return ClientResponse("", {}, b"", connection_lost=True)
--- a/marbleglade/testing/control_node.py
+++ b/marbleglade/testing/control_node.py
@@ -1,4 +1,4 @@
-"""A scripted control node, which sends fronts the events that a test publishes."""
+"""Stand-in control node that sends fronts the events that a test publishes."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 
 class StandInControlNode:
-    """Serves a control node's side of the protocol to any number of fronts.
+    """Implements the server side of the control protocol for any number of fronts.
 
     Args:
-        name: The node's name.
-        deployment: The deployment that it serves.
-        stream: The stream that its event numbers belong to.
-        address: Where it listens.
+        name: Name of the control node.
+        deployment: Name of the deployment that the node serves.
+        stream: Id of the event stream that gives the event numbers their meaning.
+        address: Listen address.
 
     Attributes:
-        received_lines: Every line that fronts wrote, without its end.
-        event_lines: The events as they are sent, by their number less one.
-        silent: Nothing is written while this is true; connections are still accepted, as by a hung process.
-        sends_heartbeats: The last number is sent at intervals.
-        first_line: What new connections are sent in place of a greeting, if it is not None.
-        snapshot_to: What the greeting says; events that were published before are sent after it.
-        connection_count: Connections that were ever accepted.
+        received_lines: All lines received from fronts, without line ends.
+        event_lines: Encoded events; event number n is at index n - 1.
+        silent: While true, nothing is written but connections are still accepted, as by a hung process.
+        sends_heartbeats: Whether the number of the last event is sent periodically as a heartbeat.
+        first_line: Line sent to new connections in place of the greeting; None for the greeting.
+        snapshot_to: Value of this field in the greeting; earlier events are sent after the greeting.
+        connection_count: Number of connections accepted so far.
     """
 
     def __init__(
@@ -45,14 +45,14 @@
         self.snapshot_to = 0
         self.connection_count = 0
         self.sockets: set[socket.socket] = set()  # all connections
-        self._greeted: set[socket.socket] = set()  # those that are written to
+        self._greeted: set[socket.socket] = set()  # connections that receive events and heartbeats
         self.listener = listening_socket(address)
         self.address: tuple[str, int] = self.listener.getsockname()
         self._loops = [gevent.spawn(self._accept), gevent.spawn(self._send_heartbeats)]
 
     @property
     def last_index(self) -> int:
-        """The number of the last event."""
+        """Number of the last event; 0 if there is none."""
         return len(self.event_lines)
 
     def _accept(self) -> None:
@@ -78,8 +78,8 @@
     def _greet(self, sock: socket.socket, last_index: int) -> None:
         if self.silent:
             return
-        hello = next(line for line in reversed(self.received_lines) if line.startswith("front "))
-        if hello.split()[3] != self.stream:
+        hello_line = next(line for line in reversed(self.received_lines) if line.startswith("front "))
+        if hello_line.split()[3] != self.stream:
             last_index = 0
         greeting = encode_greeting(Greeting(self.deployment, self.name, self.stream, self.snapshot_to))
         sock.sendall(greeting if self.first_line is None else self.first_line)
@@ -96,17 +96,17 @@
                 self.broadcast(self._heartbeat())
 
     def broadcast(self, data: bytes) -> None:
-        """Write bytes to all fronts that were greeted: the greeting is the first line of a connection."""
+        """Write bytes to all fronts that have received a greeting, which must be their first line."""
         for sock in [] if self.silent else list(self._greeted):
             with suppress(OSError):
                 sock.sendall(data)
 
     def publish(self, content: dict[str, object]) -> int:
-        """Publish an event; return its number."""
+        """Publish an event; return the event number."""
         return self._append(orjson.dumps({"index": self.last_index + 1} | content) + b"\n")
 
     def publish_configuration(self, version: int, text: str) -> int:
-        """Publish a configuration version; return the number of its event."""
+        """Publish a configuration version; return the event number."""
         return self._append(encode_configuration(ConfigurationEvent(self.last_index + 1, version, text)))
 
     def _append(self, line: bytes) -> int:
@@ -115,17 +115,17 @@
         return self.last_index
 
     def purge(self, object_id: int, group: int, unix_ms: int) -> int:
-        """Publish a purge of an object, or of a group if `object_id` is 0; return its number."""
+        """Publish a purge of an object, or of a group if `object_id` is 0; return the event number."""
         target = {"ref": f"{object_id:016x}"} if object_id else {"shard": group}
         return self.publish({"evict": target | {"unix_ms": unix_ms}})
 
     def announce(self, servers: list[dict[str, object]], full_list: bool = False) -> int:
-        """Publish entries of the endpoint list; return the number of the event."""
+        """Publish entries of the endpoint list; return the event number."""
         version = self.last_index + 1
         return self.publish({"endpoints": {"version": version, "full": full_list, "servers": servers}})
 
     def drop_connections(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         for sock in list(self.sockets):
             self._forget(sock)
             with suppress(OSError):
@@ -133,7 +133,7 @@
             sock.close()
 
     def close(self) -> None:
-        """Stop as a killed process does."""
+        """Close all sockets at once, as when the process is killed."""
         gevent.killall(self._loops)
         self.listener.close()
         self.drop_connections()
--- a/marbleglade/testing/datagram_proxy.py
+++ b/marbleglade/testing/datagram_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy for datagrams between fronts on loopback, with losses, duplicates, delays and partitions."""
+"""Datagram proxy between fronts on loopback, which injects losses, duplicates, delays and partitions."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 from .sockets import ANY_PORT, address_text
 
 MAX_DATAGRAM_BYTES = 2048
-DRAW_MULTIPLIER = 2654435761  # spreads the checksums of successive draws
+DRAW_MULTIPLIER = 2654435761  # hashes the draw counter, since checksums of successive numbers are similar
 
 
-def _nothing_is_cut(_sender: int, _receiver: int) -> bool:
+def _without_partition(_sender: int, _receiver: int) -> bool:
     return False
 
 
 class DatagramProxy:
-    """Stands between fronts, which are numbered from 0.
+    """Forwards datagrams between fronts, which are numbered from 0.
 
-    Each front has a socket of its own here for each other front, so that the address of a sender is the one
-    that the receiver lists for it.
+    There is one proxy socket for each ordered pair of fronts. A receiver thus sees the sender address that
+    its own list of peers contains for that sender.
 
     Args:
         count: Number of fronts.
         seed: Seed of losses, duplicates and delays.
 
     Attributes:
-        front_addresses: Where the fronts listen; held by the proxy until `release_addresses`.
-        loss_rate: Share of the datagrams that are lost.
-        duplication_rate: Share of the others that arrive twice.
-        delay_seconds: The least and the greatest delay.
-        is_cut: Tells whether nothing passes from a sender to a receiver.
-        bytes_delivered: By receiver.
+        front_addresses: Listen addresses of the fronts, reserved by the proxy until `release_addresses`.
+        loss_rate: Share of datagrams that are dropped.
+        duplication_rate: Share of the remaining datagrams that are delivered twice.
+        delay_seconds: Minimum and maximum delay.
+        is_cut: Returns whether all datagrams from a sender to a receiver are dropped.
+        bytes_delivered: Number of bytes delivered, by receiver.
     """
 
     def __init__(self, count: int, seed: int) -> None:
         self._count, self._seed, self._draw_count = count, seed, 0
         self.loss_rate, self.duplication_rate = 0.0, 0.0
         self.delay_seconds = (0.0, 0.005)
-        self.is_cut: Callable[[int, int], bool] = _nothing_is_cut
+        self.is_cut: Callable[[int, int], bool] = _without_partition
         self._reserved_sockets = [self._bound_socket() for _ in range(count)]
         self.front_addresses = [sock.getsockname() for sock in self._reserved_sockets]
-        # By sender and receiver: the sender writes to this socket, which answers as the receiver.
+        # By sender and receiver: the sender uses the address of this socket as the address of the receiver.
         self._sockets = {
             (sender, receiver): self._bound_socket()
             for sender in range(count)
@@ -62,7 +62,7 @@
         return sock
 
     def peer_addresses(self, front: int) -> list[str]:
-        """Return the list of peers, `host:port`, as that front is configured with it."""
+        """Return the addresses of all peers as `host:port`, for the configuration of this front."""
         return [
             address_text(
                 self.front_addresses[front] if peer == front else self._sockets[front, peer].getsockname()
@@ -71,7 +71,7 @@
         ]
 
     def release_addresses(self) -> None:
-        """Let the fronts bind their own addresses."""
+        """Close the reserving sockets, so that the fronts can bind their own addresses."""
         for sock in self._reserved_sockets:
             sock.close()
 
@@ -91,13 +91,13 @@
                     gevent.spawn_later(delay, self.inject, sender, receiver, data)
 
     def inject(self, sender: int, receiver: int, data: bytes) -> None:
-        """Send a datagram as if it came from that sender."""
+        """Send a datagram to the receiver from the address that it knows as the sender."""
         with suppress(OSError):
             self._sockets[receiver, sender].sendto(data, self.front_addresses[receiver])
             self.bytes_delivered[receiver] += len(data)
 
     def close(self) -> None:
-        """Stop, and close all sockets."""
+        """Stop forwarding and close all sockets."""
         gevent.killall(self._loops)
         for sock in self._sockets.values():
             sock.close()
--- a/marbleglade/testing/discovery_service.py
+++ b/marbleglade/testing/discovery_service.py
@@ -1,4 +1,4 @@
-"""A stand-in discovery service: numbered events to all who watch, and the last number once a second."""
+"""Stand-in discovery service: sends numbered events to all watchers, and the last number once a second."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     """Serves the discovery protocol to any number of watchers.
 
     Args:
-        zone: The zone of all upstreams that it announces.
-        address: Where it listens.
+        zone: Zone of all announced upstreams.
+        address: Listen address.
 
     Attributes:
-        event_lines: The events as they are sent, by their number less one.
-        watchers: Connections that follow the events.
-        silent: It sends nothing to those who watch already.
+        event_lines: Encoded events; event number n is at index n - 1.
+        watchers: Connections that receive events.
+        silent: While true, existing watchers receive neither events nor heartbeats.
     """
 
     def __init__(self, zone: str = "hubs", address: tuple[str, int] = ANY_PORT) -> None:
@@ -87,13 +87,13 @@
         state: str = "active",
         started_ms: int = 0,
     ) -> None:
-        """Publish a list of stand-ins, each with its kind.
+        """Publish entries of the endpoint list for stand-in upstreams.
 
         Args:
-            upstreams: The stand-ins and their kinds.
-            full_list: The list names all upstreams there are, not only what changed.
-            state: Their state: "active", "leaving" or "left".
-            started_ms: When they started, in Unix ms; 0: not known.
+            upstreams: Pairs of an upstream and its kind.
+            full_list: Whether the entries replace the whole list; otherwise they update it.
+            state: State of these upstreams: "active", "leaving" or "left".
+            started_ms: Start time of these upstreams in Unix ms; 0 for unknown.
         """
         entries = [self._entry(one.id, one.address, kind, state, started_ms) for one, kind in upstreams]
         self._publish_list(entries, full_list)
@@ -107,7 +107,7 @@
         state: str = "active",
         started_ms: int = 0,
     ) -> None:
-        """Publish an upstream that is no stand-in, or is reached at another address; see `announce`."""
+        """Publish an upstream that is not a stand-in, or has a proxy in front of it; see `announce`."""
         self._publish_list([self._entry(id, address, kind, state, started_ms)], full_list)
 
     def _entry(
@@ -134,13 +134,13 @@
         self._publish(evict=target | {"unix_ms": unix_ms})
 
     def restart_numbering(self) -> None:
-        """Forget all events: numbers count from 1 again, and all connections end."""
+        """Delete all events, so that event numbers start from 1 again, and close all connections."""
         self.event_lines.clear()
         self._close_connections()
         self.watchers.clear()
 
     def close(self) -> None:
-        """Stop as a killed process does."""
+        """Close all sockets at once, as when the process is killed."""
         gevent.killall(self._loops)
         self.listener.close()
         self._close_connections()
--- a/marbleglade/testing/front_fleet.py
+++ b/marbleglade/testing/front_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real fronts on loopback, each a process, with stand-ins for all that they talk to."""
+"""Fleet of real front processes on loopback, with stand-ins for upstreams and discovery services."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 from .object_store import ObjectStore, RegionClock
 from .sockets import address_text, reserve_address
 
-LogEvent = dict[str, Any]  # a line of a front's log: its event and fields
-DESCRIPTOR_LIMIT = 600
-CACHE_CAPACITY = 24  # requests that a cache serves at once at full speed
+LogEvent = dict[str, Any]  # one decoded line of a front's log
+DESCRIPTOR_LIMIT = 600  # open files and sockets of a front
+CACHE_CAPACITY = 24  # concurrent requests that a cache serves at full speed
 CACHE_SERVICE_SECONDS, ORIGIN_SERVICE_SECONDS = 0.01, 0.02
 NON_IDEMPOTENT_CLASS = "orders"
 POLL_SECONDS = 0.05
@@ -35,30 +35,30 @@
 
 
 class FrontFleet:
-    """A number of fronts, their caches, parents, origin and discovery services, one service for each front.
+    """Fronts with common caches, parents and origin, and one discovery service for each front.
 
     Args:
         count: Number of fronts.
-        folder: Where configurations and logs are written.
+        folder: Folder for configuration files and logs.
         seed: Seed of the fronts and of the datagram proxy.
-        cooperating: The fronts agree on leadership, quotas and a load view; else each decides alone.
+        cooperating: Whether the fronts share leadership, quotas and a load view; else each decides alone.
         cache_count: Number of caches.
         parent_count: Number of parents.
         heartbeat_ms: Interval of the fleet's heartbeats.
-        warm_up: What a cache or parent bears while it warms up; None: any load.
-        origin_capacity: Capacity of the origin; None: unbounded.
-        with_maintenance: The fronts look for a maintenance plan.
-        peer_messages: The fronts know of each other and may send datagrams.
-        rules: Entries that replace those of the settings' `Rules`.
-        descriptor_limit: Open files and sockets that each front is told it may use.
+        warm_up: Load limit of caches and parents during slow start; None for no limit.
+        origin_capacity: Capacity of the origin; None for unbounded.
+        with_maintenance: Whether the fronts read maintenance plans.
+        peer_messages: Whether the fronts have the addresses of their peers and may send datagrams.
+        rules: Entries that replace entries of `Rules` in the settings.
+        descriptor_limit: Configured limit of open files and sockets of each front.
 
     Attributes:
-        client_addresses: By front, where clients connect to.
-        discovery_services: By front, the service that it watches.
-        upstreams: All upstreams with their kinds.
-        datagram_proxy: Between the fronts.
-        processes: The fronts that run, by number.
-        effects: How often each body of a non-idempotent request took effect.
+        client_addresses: Listen address for clients, by front.
+        discovery_services: Discovery service of each front, by front.
+        upstreams: Pairs of an upstream and its kind.
+        datagram_proxy: Proxy for datagrams between the fronts.
+        processes: Running front processes, by front.
+        effects: Execution count by body of non-idempotent requests.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         self.rules, self.descriptor_limit = rules, descriptor_limit
         self._warm_up = warm_up
         self._start_upstreams(cache_count, parent_count, origin_capacity)
-        # The addresses stay reserved, so that nothing else takes one while its process is down.
+        # The ports stay reserved, so that no other process can bind one while its front is down.
         self._reserved_sockets = [reserve_address() for _ in range(2 * count)]
         addresses = [sock.getsockname() for sock in self._reserved_sockets]
         self.client_addresses = addresses[0::2]
@@ -128,7 +128,7 @@
         return upstream
 
     def add_cache(self) -> StandInUpstream:
-        """Start one more cache, which the others know as a fill source; it is not announced yet."""
+        """Start another cache, which the other caches can use as a fill source, without announcing it."""
         cache = self._new_upstream(f"box{len(self.caches)}")
         cache.capacity_model = CapacityModel(CACHE_CAPACITY)
         cache.service_seconds = CACHE_SERVICE_SECONDS
@@ -174,23 +174,23 @@
         return configuration
 
     def log_path(self, number: int, start: int = 0) -> Path:
-        """Return the path of the log of a front's start, counted from 1; 0: the latest."""
+        """Return the log path of one start of a front, counted from 1; 0 selects the latest start."""
         return self.folder / f"f{number}.{start or self._start_counts[number]}.log"
 
     def maintenance_plan_path(self, number: int) -> Path:
-        """Return where a front looks for a maintenance plan."""
+        """Return the path from which a front reads its maintenance plan."""
         return self.folder / f"work{number}.textproto"
 
     def submit_maintenance_plan(self, number: int, plan: str) -> None:
-        """Give a front a maintenance plan as operators do: a file and SIGHUP."""
+        """Submit a maintenance plan to a front as operators do: write its file and send SIGHUP."""
         self.maintenance_plan_path(number).write_text(plan)
         self.signal(number, signal.SIGHUP)
 
     def wait_until_ready(self, seconds: float = 20.0) -> None:
-        """Block until each front says that it is ready.
+        """Block until all fronts report that they are ready.
 
         Raises:
-            gevent.Timeout: One did not say so in time.
+            gevent.Timeout: A front was not ready within this time.
         """
         with gevent.Timeout(seconds):
             for number in list(self.processes):
@@ -198,7 +198,7 @@
                     gevent.sleep(POLL_SECONDS)
 
     def is_ready(self, number: int) -> bool:
-        """Return whether a front responds to STATUS that it is ready."""
+        """Return whether a front reports in its STATUS response that it is ready."""
         with suppress(OSError):
             client = Client(self.client_addresses[number])
             response = client.status()
@@ -207,18 +207,18 @@
         return False
 
     def kill(self, *numbers: int) -> None:
-        """Kill fronts, and wait for their end."""
+        """Kill fronts and wait until their processes have ended."""
         for number in numbers:
             process = self.processes.pop(number)
             process.kill()
             process.wait()
 
     def signal(self, number: int, signal_number: int) -> None:
-        """Send a front a signal."""
+        """Send a signal to a front."""
         self.processes[number].send_signal(signal_number)
 
     def log_events(self, number: int) -> list[LogEvent]:
-        """Return what a front logged, over all its starts."""
+        """Return the log events of a front from all of its starts."""
         events = []
         for start in range(1, self._start_counts[number] + 1):
             for line in self.log_path(number, start).read_bytes().splitlines():
@@ -227,10 +227,10 @@
         return events
 
     def counters_event(self, number: int) -> LogEvent:
-        """Have a front log its counters (SIGUSR1); return that event.
+        """Send SIGUSR1, which makes a front log its counters; return that event.
 
         Raises:
-            gevent.Timeout: It did not log them in time.
+            gevent.Timeout: The front did not log its counters in time.
         """
         count_before = len(self._counters_events(number))
         self.signal(number, signal.SIGUSR1)
@@ -243,10 +243,10 @@
         return [event for event in self.log_events(number) if event["event"] == "counters"]
 
     def close(self) -> list[str]:
-        """End all processes and stand-ins.
+        """Terminate all front processes and stop all stand-ins.
 
         Returns:
-            What went wrong in any front, by its exit code and its counters.
+            Failures of the fronts, found in their exit codes and counters; empty if there were none.
         """
         for process in self.processes.values():
             process.send_signal(signal.SIGCONT)
@@ -271,5 +271,5 @@
             status = process.wait(SHUTDOWN_TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired:
             process.kill()
-            return f"f{number} did not end"
-        return f"f{number} ended with {status}" if status else ""
+            return f"f{number} did not exit in time after SIGTERM"
+        return f"f{number} exited with status {status}, expected 0" if status else ""
--- a/marbleglade/testing/front_settings.py
+++ b/marbleglade/testing/front_settings.py
@@ -1,4 +1,4 @@
-"""Settings in the operators' format for fronts that stand between stand-ins."""
+"""Front settings in the operators' format, for fronts whose clients and upstreams are stand-ins."""
 
 from __future__ import annotations
 
@@ -67,8 +67,8 @@
 
     Args:
         fleet_size: Number of fronts in the zone.
-        rules: Entries that replace those of `Rules`; times in ms.
-        **limits: Entries that replace those of `Limits`; times in ms.
+        rules: Entries that replace entries of `Rules`; times in ms.
+        **limits: Entries that replace entries of `Limits`; times in ms.
     """
     return {
         "Classes": REQUEST_CLASSES,
@@ -91,11 +91,11 @@
 
 
 def regional_front_settings(zone: str, kinds: list[str], rules: dict[str, float]) -> dict[str, object]:
-    """Return the settings of a front of a stand-in region (`regions.py`), as its gateways are configured.
+    """Return front settings that match the gateway configuration of a stand-in region (`regions.py`).
 
     Args:
-        zone: The front's zone.
-        kinds: Kinds of its caches, its parents and its origin.
+        zone: Zone of the front.
+        kinds: Kinds of the caches, the parents and the origin, in this order.
         rules: Entries of `Rules`; times in ms.
     """
     classes = [{key: value for key, value in one.items() if key != "Gain"} for one in REQUEST_CLASSES[:2]]
@@ -126,13 +126,13 @@
     """Return the content of a front's configuration file.
 
     Args:
-        name: The front's name.
-        listen: Where it listens for clients.
-        discovery: Address of its discovery service.
-        settings: The operators' settings.
-        seed: Hexadecimal digits.
-        event_lines: The discovery service's events that it knows at its start.
-        memory_mb: Memory limit.
+        name: Name of the front.
+        listen: Listen address for clients.
+        discovery: Address of the discovery service.
+        settings: Settings in the operators' format.
+        seed: Seed as hexadecimal digits.
+        event_lines: Discovery events that the front has from its configuration at start.
+        memory_mb: Memory limit in MB.
         descriptors: Limit of open files and sockets.
     """
     events = [orjson.loads(line) for line in event_lines]
--- a/marbleglade/testing/object_cache.py
+++ b/marbleglade/testing/object_cache.py
@@ -1,4 +1,4 @@
-"""What a stand-in cache holds, and how a miss is filled once for all that ask meanwhile."""
+"""Object cache of a stand-in upstream; concurrent requests for the same missing object can share one fill."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class ObjectCache:
-    """The versions of objects that a stand-in holds, the oldest dropped first.
+    """Cached object versions of a stand-in upstream; when full, the first stored entry is evicted.
 
     Args:
-        clock: Unix time in ns.
+        clock: Returns the Unix time in ns.
 
     Attributes:
-        versions: What is held, by object and part.
+        versions: Cached versions by object and part.
     """
 
     def __init__(self, clock: Callable[[], int]) -> None:
@@ -31,27 +31,27 @@
 
     @property
     def fills_in_flight(self) -> int:
-        """Number of misses that are being filled."""
+        """Number of fills in progress."""
         return len(self._fills)
 
     def clear(self) -> None:
-        """Drop everything."""
+        """Remove all versions."""
         self.versions.clear()
 
     def drop_purged(self, object_id: int, group: int, purged_at_ms: int) -> None:
-        """Drop what is no newer than a purge of an object, or of a group if `object_id` is 0."""
+        """Remove versions no newer than a purge of an object, or of a group if `object_id` is 0."""
         for key, version in list(self.versions.items()):
             matches = key.object_id == object_id if object_id else group_of(key.object_id) == group
             if matches and version.issued_ms <= purged_at_ms:
                 del self.versions[key]
 
     def get(self, key: PartKey, max_age_ms: int) -> ObjectVersion | None:
-        """Return a version that is no older than `max_age_ms`; 0: of any age."""
+        """Return the cached version if its age is at most `max_age_ms`, where 0 allows any age; else None."""
         version = self.versions.get(key)
         return version if version and self._is_fresh(version, max_age_ms) else None
 
     def put(self, key: PartKey, version: ObjectVersion) -> None:
-        """Hold a version, unless a newer one is held."""
+        """Store a version unless a newer one is cached."""
         present = self.versions.get(key)
         if not present or present.issued_ms <= version.issued_ms:
             self.versions[key] = version
@@ -59,7 +59,7 @@
             self.versions.popitem(last=False)
 
     def join_fill(self, key: PartKey, max_age_ms: int) -> ObjectVersion | None:
-        """Wait for the fill of an object that is in flight; None: there is none, or it is too old."""
+        """Wait for the fill in progress; return its version, or None without a fill or if it is too old."""
         fill = self._fills.get(key)
         if fill is None:
             return None
@@ -67,7 +67,7 @@
         return version if version and self._is_fresh(version, max_age_ms) else None
 
     def fill(self, key: PartKey, fill: Fill) -> ObjectVersion | None:
-        """Get an object by `fill` and hold it; others may join the fill meanwhile."""
+        """Fetch an object with `fill` and store it; meanwhile, `join_fill` waits for this fill."""
         result = self._fills[key] = AsyncResult()
         version = None
         try:
--- a/marbleglade/testing/object_store.py
+++ b/marbleglade/testing/object_store.py
@@ -1,4 +1,4 @@
-"""What a stand-in region holds: objects whose bytes say what they are, so that a response can be checked."""
+"""Objects of a stand-in origin; their bytes encode id and version, so that tests can check responses."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from typing import NamedTuple
 
 NS_PER_MS = 1_000_000
-VIDEO_BITS = 3  # lowest bits of an object that is a part of a video; the others are pages
-VIDEO_BYTES, VIDEO_SPREAD = 60_000, 140_000  # the least, and how much larger the largest is
-PAGE_BYTES, PAGE_SPREAD = 1_500, 12_000
+VIDEO_BITS = 3  # an object id with these low bits set is a part of a video; all others are pages
+VIDEO_BYTES, VIDEO_SPREAD = 60_000, 140_000  # minimum size and size range in bytes
+PAGE_BYTES, PAGE_SPREAD = 1_500, 12_000  # likewise for pages
 
 
 class RegionClock:
-    """A region's clock, which may be wrong.
+    """Clock of a region, with an adjustable error.
 
     Args:
-        offset_ms: Its error at first.
-        drift_ppm: How much too fast it runs, in millionths.
+        offset_ms: Initial error in ms.
+        drift_ppm: Drift in parts per million; positive values make the clock fast.
 
     Attributes:
-        start: Unix time in ns from which it drifts.
+        start: Unix time in ns at which the drift begins.
     """
 
     def __init__(self, offset_ms: float = 0.0, drift_ppm: float = 0.0) -> None:
@@ -31,20 +31,20 @@
         self.start = time.time_ns()
 
     def __call__(self) -> int:
-        """Return Unix nanoseconds as that region sees them."""
+        """Return the Unix time in ns according to this clock."""
         now = time.time_ns()
         return now + self.offset + int((now - self.start) * self.drift)
 
 
 class PartKey(NamedTuple):
-    """A part of an object."""
+    """Identifies a part of an object."""
 
     object_id: int
     part: int
 
 
 class ObjectVersion(NamedTuple):
-    """The bytes of a part as the origin gave them out, with their tag and that Unix time in ms."""
+    """A part's body and entity tag as served by the origin, with the Unix time in ms of that response."""
 
     etag: str
     issued_ms: int
@@ -52,12 +52,12 @@
 
 
 def hashed_fraction(seed: int, *key: object) -> float:
-    """Hash a seed and a key to a figure in [0, 1)."""
+    """Hash a seed and a key to a number in [0, 1)."""
     return zlib.crc32(" ".join(map(str, (seed, *key))).encode()) / 2**32
 
 
 def size_of(object_id: int) -> int:
-    """Return the bytes of each part of an object: one object in four is a video, the others are pages."""
+    """Return the size in bytes of each part of an object; one object in four is a video, others are pages."""
     share = (object_id >> 16 & 0xFFFF) / 0x10000
     if object_id & VIDEO_BITS == VIDEO_BITS:
         return int(VIDEO_BYTES + share * VIDEO_SPREAD)
@@ -69,13 +69,13 @@
 
 
 def body_of(object_id: int, part: int, version: int, size: int = 0) -> bytes:
-    """Return the bytes of one version of an object's part; they begin by saying which.
+    """Return the bytes of one version of an object's part, which begin with the object, part and version.
 
     Args:
-        object_id: The object.
+        object_id: Id of the object.
         part: Number of the part.
-        version: The version, from 1.
-        size: Bytes; 0: the object's own size.
+        version: Number of the version, from 1.
+        size: Size in bytes; 0 selects `size_of` the object.
     """
     prefix = _body_prefix(object_id, part, version)
     size = max(size or size_of(object_id), len(prefix))
@@ -84,12 +84,12 @@
 
 
 def etag_of(object_id: int, part: int, version: int) -> str:
-    """Return the tag of one version of an object's part: 16 hex digits."""
+    """Return the entity tag of one version of an object's part as 16 hex digits."""
     return blake2b(b"%d %d %d" % (object_id, part, version), digest_size=8).hexdigest()
 
 
 def version_of(body: bytes, object_id: int, part: int) -> int | None:
-    """Return which version these bytes are; None if they are incomplete, changed or of another object."""
+    """Return the version of these bytes; None if they are truncated, corrupt or of another object or part."""
     try:
         named_object, named_part, digits = body[:64].split(b" ", 3)[:3]
         if int(named_object, 16) != object_id or int(named_part) != part or not digits.isdigit():
@@ -108,12 +108,12 @@
 
 
 class ObjectStore:
-    """The objects of one region, as its origin gives them out now.
+    """Current objects of one region, which its origin serves.
 
     Args:
-        name: The region's name.
-        clock: The region's clock.
-        contains: Tells whether an object is one of its own.
+        name: Name of the region.
+        clock: Clock of the region.
+        contains: Returns whether an object belongs to the region.
     """
 
     def __init__(self, name: str, clock: RegionClock, contains: Callable[[int], bool]) -> None:
@@ -122,11 +122,11 @@
         self._group_purges: dict[int, int] = {}
 
     def version(self, object_id: int, group: int) -> int:
-        """Return the present version of an object: 1, and one more for each purge."""
+        """Return the current version of an object: 1 plus the purges of the object and its group."""
         return 1 + self._object_purges.get(object_id, 0) + self._group_purges.get(group, 0)
 
     def read(self, key: PartKey) -> ObjectVersion | None:
-        """Return the present version of a part; None if the object is not one of its own."""
+        """Return the current version of a part, or None if the object does not belong to the region."""
         if not self.contains(key.object_id):
             return None
         version = self.version(key.object_id, group_of(key.object_id))
@@ -137,10 +137,10 @@
         )
 
     def purge(self, object_id: int, group: int) -> int:
-        """Make what was given out until now old, of an object or of a group if `object_id` is 0.
+        """Start a new version of an object, or of all objects of a group if `object_id` is 0.
 
         Returns:
-            The Unix time of the purge in ms.
+            Unix time of the purge in ms.
         """
         purges, key = (self._object_purges, object_id) if object_id else (self._group_purges, group)
         purges[key] = purges.get(key, 0) + 1
--- a/marbleglade/testing/policy_stub.py
+++ b/marbleglade/testing/policy_stub.py
@@ -1,4 +1,4 @@
-"""Parameters for a policy under test, and a host for it without sockets and clocks."""
+"""Parameters and a host without sockets and clocks for a policy under test."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
     """Return the parameters of a front with caches, parents and an origin.
 
     Args:
-        request_classes: The classes of requests.
-        **changes: Fields of `Parameters` that differ.
+        request_classes: Request classes of the front.
+        **changes: Values of fields of `Parameters` that replace the defaults below.
     """
-    usual = Parameters(
+    defaults = Parameters(
         request_classes=request_classes,
         seed=7,
         zone=1,
@@ -49,40 +49,40 @@
         local_link_capacity=0.0,
         load_probes_allowed=False,
     )
-    return replace(usual, **changes)  # type: ignore[arg-type]  # a wrong field fails at once
+    return replace(defaults, **changes)  # type: ignore[arg-type]  # an unknown field raises TypeError
 
 
 class StubPolicyHost:
-    """A host that begins attempts and does nothing else; tests and simulations override what they need.
+    """Policy host that creates attempts and ignores all other calls; tests override the methods they need.
 
     Attributes:
-        clock: The time that the policy is told, ns.
+        clock: Current time in ns, as `now` returns it to the policy.
     """
 
     def __init__(self, clock: int) -> None:
         self.clock = clock
 
     def now(self) -> int:
-        """Return the time."""
+        """Return the current time in ns."""
         return self.clock
 
     def handling_delay(self) -> int:
-        """Return 0: events are handled at once."""
+        """Return 0, since events are handled without delay."""
         return 0
 
     def begin_attempt(
         self, request: Request, upstream: Upstream, fill_source: Upstream, timeout: int, cache_priority: int
     ) -> Attempt:
-        """Return a new attempt, which is also filed under its request."""
+        """Return a new attempt, which is also appended to the attempts of its request."""
         attempt = Attempt(request, upstream, fill_source, self.now(), timeout, cache_priority)
         request.attempts.append(attempt)
         return attempt
 
     def schedule_wakeup(self, after: int) -> None:
-        """Ignore a timer."""
+        """Ignore the request for a wakeup."""
 
     def poll_endpoints(self) -> None:
-        """Ignore a poll."""
+        """Ignore the request for a poll."""
 
     def record_action(self, action: PolicyAction) -> None:
-        """Ignore an action."""
+        """Ignore the action."""
--- a/marbleglade/testing/regions.py
+++ b/marbleglade/testing/regions.py
@@ -1,6 +1,6 @@
-"""Two stand-in regions on loopback, each with an origin, caches, discovery and a proxy before each gateway.
+"""Two stand-in regions on loopback, each with an origin, caches, discovery and a TCP proxy for each gateway.
 
-Tests and benchmarks start the gateways themselves, in their own process or in others.
+Tests and benchmarks start the gateways themselves, in their own process or in separate processes.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 """
 ROUTES = 'routes { region: "west" prefix: "f" }\nroutes { region: "east" prefix: "0" }\n'
 PAGE_FRESHNESS_MS = 5000
-PURGE_DELAY_SECONDS = 4.0  # from a purge until caches drop older objects; below the rules' `clear_ms`
+PURGE_DELAY_SECONDS = 4.0  # from a purge until caches drop older objects; must be below the rule `clear_ms`
 
 
 class GatewayAddresses:
-    """The addresses of one region's gateways, and a proxy before the port that takes links.
+    """Addresses of one region's gateways, with a proxy in front of each gateway's port for links.
 
     Args:
-        prefix: The names of the gateways are this and their number.
+        prefix: Prefix of the gateway names, which end in a number from 1.
         count: Number of gateways.
 
     Attributes:
-        gateways: Their names.
-        ports: By name, the ports for clients, for the caches' protocol and for links.
-        proxies: By name, what other regions connect to.
+        gateways: Names of the gateways.
+        ports: Ports for clients, for the cache protocol and for links, by gateway name.
+        proxies: Proxies to which other regions connect, by gateway name.
     """
 
     def __init__(self, prefix: str, count: int) -> None:
@@ -59,16 +59,16 @@
 
 
 class StandInRegion:
-    """One region with its upstreams and its discovery service.
+    """One region with upstreams and a discovery service.
 
     Args:
-        name: The region's name.
-        top_bit: Objects with this top bit are the region's own.
-        effects: Where the effects of its upstreams are counted.
-        clock: The region's clock.
-        cache_count: Number of its caches.
-        warm_up: What a cache bears while it warms up; None: any load.
-        gateway_count: Number of its gateways.
+        name: Name of the region.
+        top_bit: Top bit of the object ids that belong to the region.
+        effects: Counter for executions of non-idempotent requests, shared with the other region.
+        clock: Clock of the region.
+        cache_count: Number of caches.
+        warm_up: Load limit of a cache during slow start; None for no limit.
+        gateway_count: Number of gateways.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         self.proxies = self.gateway_addresses.proxies
 
     def deployment_text(self, gateway_addresses: GatewayAddresses | None = None) -> str:
-        """Return its part of a deployment file, with its own gateways or with others of the same region."""
+        """Return the region's entry of a deployment file, with these gateways or else the region's own."""
         gateways = (gateway_addresses or self.gateway_addresses).deployment_text()
         discovery = address_text(self.discovery_service.address)
         return (
@@ -114,14 +114,14 @@
         self.discovery_service.announce(upstreams, full_list=True)
 
     def purge(self, object_id: int, group: int = 0) -> None:
-        """Purge an object, or a group if `object_id` is 0; the caches drop it after their delay."""
+        """Purge an object, or a group if `object_id` is 0; caches drop it after `PURGE_DELAY_SECONDS`."""
         purged_at_ms = self.object_store.purge(object_id, group)
         self.discovery_service.purge(object_id, group, purged_at_ms)
         for one in self.caches:
             gevent.spawn_later(PURGE_DELAY_SECONDS, one.cache.drop_purged, object_id, group, purged_at_ms)
 
     def restart_cache(self, cache: StandInUpstream) -> None:
-        """Restart a cache with nothing cached, and announce it."""
+        """Restart a cache with no content and announce its new start time."""
         cache.restart()
         self.discovery_service.announce([(cache, "hub")], started_ms=cache.started_ms())
 
@@ -135,14 +135,14 @@
 
 
 class StandInRegions:
-    """Two regions, and the text of the deployment file that links them.
+    """Two regions and the text of the deployment file that links them.
 
     Args:
-        extra_text: Further entries of the deployment file.
-        clocks: The regions' clocks; right by default.
-        routed: The deployment file has routes by the objects' prefixes.
+        extra_text: Additional entries of the deployment file.
+        clocks: Clocks of the two regions; correct clocks by default.
+        routed: Whether the deployment file has routes by object prefix.
         cache_count: Number of caches in each region.
-        warm_up: What a cache bears while it warms up; None: any load.
+        warm_up: Load limit of a cache during slow start; None for no limit.
         gateway_count: Number of gateways in each region.
     """
 
@@ -166,20 +166,20 @@
 
     @property
     def both(self) -> tuple[StandInRegion, StandInRegion]:
-        """The east and the west."""
+        """Both regions: east, then west."""
         return self.east, self.west
 
     def deployment_text(self) -> str:
-        """Return the deployment file."""
+        """Return the text of the deployment file."""
         regions = self.east.deployment_text() + self.west.deployment_text()
         return regions + self.routes + REQUEST_CLASSES + self.extra_text
 
     def set_fault(self, mode: ProxyMode) -> None:
-        """Set the mode of all proxies between the two regions."""
+        """Set the fault mode of all proxies between the two regions."""
         self.for_each_proxy(lambda proxy: proxy.set_fault(mode))
 
     def for_each_proxy(self, action: Callable[[TcpProxy], None]) -> None:
-        """Call an action with each proxy of both regions."""
+        """Call `action` with each proxy of both regions."""
         for region in self.both:
             for proxy in region.proxies.values():
                 action(proxy)
--- a/marbleglade/testing/sockets.py
+++ b/marbleglade/testing/sockets.py
@@ -11,12 +11,12 @@
 LOOPBACK_HOST = "127.0.0.1"
 ANY_PORT = (LOOPBACK_HOST, 0)  # the system picks the port
 BACKLOG = 512
-FIRST_PORT, PORT_COUNT = 20_000, 12_000  # below the ports that the system gives to connections
-_candidate_offsets = itertools.count(os.getpid() * 997)  # test processes that run at once start apart
+FIRST_PORT, PORT_COUNT = 20_000, 12_000  # below the ephemeral port range of the system
+_candidate_offsets = itertools.count(os.getpid() * 997)  # concurrent test processes start at different ports
 
 
 def listening_socket(address: tuple[str, int] = ANY_PORT) -> socket.socket:
-    """Return a TCP socket that listens at an address."""
+    """Return a TCP socket that listens on an address."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(address)
@@ -25,7 +25,7 @@
 
 
 def free_port() -> int:
-    """Return a port at which nothing listens and that the system gives to no connection of its own."""
+    """Return a port that can be bound now and is outside the ephemeral range."""
     while True:
         port = FIRST_PORT + next(_candidate_offsets) % PORT_COUNT
         with suppress(OSError), socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
@@ -34,9 +34,9 @@
 
 
 def reserve_address() -> socket.socket:
-    """Return a bound socket that never listens; a process that sets SO_REUSEADDR can listen at its address.
+    """Return a bound socket that never listens; a process that sets SO_REUSEADDR can listen on its address.
 
-    No other process is given that port while the one that is to listen there is down.
+    This reserves the port for a process under test while that process is down.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -45,5 +45,5 @@
 
 
 def address_text(address: tuple[str, int]) -> str:
-    """Return `host:port`."""
+    """Return the address as `host:port`."""
     return f"{address[0]}:{address[1]}"
--- a/marbleglade/testing/state_space.py
+++ b/marbleglade/testing/state_space.py
@@ -1,4 +1,4 @@
-"""Breadth-first search of all states that a model can reach: a model checker for protocols without I/O."""
+"""Model checker for protocols without I/O: a breadth-first search of all reachable states of a model."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-Move = object  # what the model takes in `do`; the search only passes it on
+Move = object  # a transition of the model; the search only passes it to `do`
 
 
 class Model(Protocol):
-    """A state of the model, which can be deep-copied."""
+    """A state of the model, which must support deep copies."""
 
     def moves(self) -> Iterable[Move]:
-        """Return what may happen now."""
+        """Return the transitions that are possible in this state."""
 
     def do(self, move: Move) -> None:
-        """Carry out one of the moves."""
+        """Apply one of these transitions to this state."""
 
     def key(self) -> Hashable:
-        """Return a value that is equal for two states that are alike."""
+        """Return a value that is equal for two equivalent states."""
 
     def violation(self) -> str:
-        """Return the invariant that is violated in this state; empty: none."""
+        """Return the invariant that this state violates, or an empty string."""
 
 
 @dataclass(slots=True)
@@ -32,11 +32,11 @@
     """The result of a search.
 
     Attributes:
-        states: Number of states that were visited.
-        max_depth: Moves to the farthest of them.
-        complete: All states that the model can reach were visited.
-        violation: The first invariant that was found violated; empty: none.
-        path: The moves that lead to the violation, as few as there can be.
+        states: Number of states visited.
+        max_depth: Largest number of moves from the initial state to a visited state.
+        complete: Whether neither limit ended the search early.
+        violation: First violated invariant found; empty for none.
+        path: A shortest sequence of moves that leads to the violation.
     """
 
     states: int = 0
@@ -51,8 +51,8 @@
 
     Args:
         model: The initial state.
-        max_states: The search ends after so many states.
-        max_depth: States that are so many moves away are not left any more.
+        max_states: Maximum number of states to visit.
+        max_depth: Number of moves from the initial state beyond which no state is explored.
     """
     result, seen = Exploration(), {model.key()}
     queue: deque[tuple[Model, tuple[Move, ...]]] = deque([(model, ())])
--- a/marbleglade/testing/tcp_proxy.py
+++ b/marbleglade/testing/tcp_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy between two parties that cuts, holds, slows or corrupts what passes."""
+"""TCP proxy that resets or half-closes connections, or blocks, delays, throttles or corrupts their data."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from .sockets import ANY_PORT, listening_socket
 
 READ_SIZE = 16_384
-MIN_READ_SIZE, READS_PER_SECOND = 256, 32  # while the rate is limited
+MIN_READ_SIZE, READS_PER_SECOND = 256, 32  # used while the rate is limited
 MAX_QUEUED_READS = 64
 CONNECT_TIMEOUT_SECONDS = 1
-RESET_ON_CLOSE = b"\x01\0\0\0\0\0\0\0"  # SO_LINGER with a time of zero
+RESET_ON_CLOSE = b"\x01\0\0\0\0\0\0\0"  # SO_LINGER with a timeout of zero
 
 ProxyMode = Literal["pass", "reset", "silent", "up", "down", "half"]
-Direction = Literal["up", "down"]  # up: from the party that connects to the target
+Direction = Literal["up", "down"]  # up: from the connecting client to the target
 BLOCKING_MODES: dict[Direction, tuple[ProxyMode, ...]] = {"up": ("silent", "down"), "down": ("silent", "up")}
 
 
 class _QueuedRead(NamedTuple):
-    """Bytes on their way, and the monotonic time at which they arrive; empty: the sender has ended."""
+    """Bytes in flight and the monotonic time of their arrival; empty data marks the end of the stream."""
 
     arrives_at: float
     data: bytes
@@ -35,17 +35,18 @@
     """Forwards connections to a target, with faults that tests set while it runs.
 
     Args:
-        target: Where it connects to.
-        address: Where it listens.
+        target: Address to which connections are forwarded.
+        address: Listen address.
 
     Attributes:
-        mode: "pass"; "reset": resets all connections and takes none; "silent": holds what passes; "up" or
-            "down": only that direction passes; "half": ends its sending side on all connections, once.
-        rate: Bytes per second in each direction; 0: unlimited.
-        delay: Seconds that bytes take.
-        corrupt_every: One byte in so many is changed; 0: none.
-        reset_after_bytes: Total of bytes down at which it resets all connections, once; 0: never.
-        bytes_passed: Bytes by direction.
+        mode: "pass" forwards everything; "reset" resets all connections and closes new ones; "silent" blocks
+            both directions; "up" and "down" block the other direction; "half" shuts down the sending side
+            of all current connections once.
+        rate: Rate limit in bytes per second, for each direction of a connection; 0 for unlimited.
+        delay: Delay of all data in seconds.
+        corrupt_every: Interval in bytes at which a byte is corrupted; 0 for no corruption.
+        reset_after_bytes: Total of bytes "down" at which all connections are reset, once; 0 for never.
+        bytes_passed: Number of bytes forwarded, by direction.
     """
 
     def __init__(self, target: tuple[str, int], address: tuple[str, int] = ANY_PORT) -> None:
@@ -62,7 +63,7 @@
     def set_fault(
         self, mode: ProxyMode = "pass", rate: int = 0, delay: float = 0.0, corrupt_every: int = 0
     ) -> None:
-        """Set what happens from now on, to open connections too; see the attributes of the class."""
+        """Set the faults for open and new connections; see the attributes of the class."""
         self.mode, self.rate, self.delay, self.corrupt_every = mode, rate, delay, corrupt_every
         if mode == "reset":
             self.reset()
@@ -142,7 +143,7 @@
         return data
 
     def close(self) -> None:
-        """Stop, and reset all connections."""
+        """Stop listening and reset all connections."""
         self._accept_loop.kill()
         self._listener.close()
         self.reset()
--- a/marbleglade/testing/upstream_faults.py
+++ b/marbleglade/testing/upstream_faults.py
@@ -1,4 +1,4 @@
-"""What tests may set at a stand-in upstream while it runs."""
+"""Faults of a stand-in upstream that tests set while it runs."""
 
 from __future__ import annotations
 
@@ -6,21 +6,23 @@
 
 
 class UpstreamFaults:
-    """The faults and peculiarities of one upstream; at first it has none.
+    """Faults and other settings of one upstream, initially without faults.
 
     Attributes:
-        response_delay: Seconds before each response.
-        response_gates: By request class, an event before which nothing is answered.
-        gate_spread_seconds: Time over which the responses are spread once their gate opens.
-        silent: It reads requests and sends nothing.
-        resets_connections: It closes each new connection.
-        corrupts_bodies: It changes the last byte of each body.
-        rejects_all: It answers that it has no capacity.
-        fails_all: It answers with an error.
-        crashed: It was overloaded while it warmed up, and takes no connections until it restarts.
-        draining, draining_since: It is to get no requests any more, since that monotonic time.
-        requests_while_draining: Requests that came after the grace time of its drain.
-        non_idempotent_classes, effect_seconds: Classes whose requests take effect, and how long that takes.
+        response_delay: Delay before each response, in seconds.
+        response_gates: Events by request class; responses are withheld until their event is set.
+        gate_spread_seconds: Time over which responses are spread after their gate event is set.
+        silent: Whether it reads requests without responding.
+        resets_connections: Whether it closes each new connection at once.
+        corrupts_bodies: Whether it replaces the last byte of each body.
+        rejects_all: Whether it rejects every request for lack of capacity.
+        fails_all: Whether it responds to every request with an error.
+        crashed: Whether an overload during slow start made it close new connections until its restart.
+        draining: Whether fronts are expected to send no more requests.
+        draining_since: Monotonic time at which draining began.
+        requests_while_draining: Number of requests received after the grace period of the drain.
+        non_idempotent_classes: Request classes whose requests have side effects.
+        effect_seconds: Execution time of a request with side effects.
     """
 
     def __init__(self) -> None:
--- a/tests/testing/test_control_node.py
+++ b/tests/testing/test_control_node.py
@@ -1,4 +1,4 @@
-"""The scripted control node keeps to the protocol that it stands in for."""
+"""The stand-in control node conforms to the control protocol."""
 
 import gevent
 import pytest
@@ -8,7 +8,7 @@
 from marbleglade.model.watch_event import Heartbeat
 from marbleglade.testing.control_node import StandInControlNode
 
-HEARTBEATS_WAITED_FOR = 1.2  # seconds: two heartbeats of the stand-in
+TWO_HEARTBEATS_SECONDS = 1.2  # long enough for two heartbeats of the stand-in
 
 
 @pytest.fixture
@@ -23,18 +23,18 @@
     return connection, connection.makefile("rb")
 
 
-def test_a_front_that_has_not_asked_yet_is_sent_no_heartbeat_before_its_greeting(node):
+def test_no_heartbeat_is_sent_to_a_front_before_its_greeting(node):
     connection, received = connect(node)
-    gevent.sleep(HEARTBEATS_WAITED_FOR)
+    gevent.sleep(TWO_HEARTBEATS_SECONDS)
     connection.sendall(b"front f1 1 -\nfollow 0\n")
     assert isinstance(decode_stream_line(received.readline()), Greeting)
     assert decode_stream_line(received.readline()) == Heartbeat(0)
     assert decode_stream_line(received.readline()) == Heartbeat(0)
 
 
-def test_an_event_before_the_request_comes_after_the_greeting_and_once(node):
+def test_an_event_published_before_the_follow_line_is_sent_once_after_the_greeting(node):
     connection, received = connect(node)
-    gevent.sleep(0.1)  # the connection is accepted
+    gevent.sleep(0.1)  # lets the node accept the connection
     assert node.purge(7, 0, 100) == 1
     connection.sendall(b"front f1 1 -\nfollow 0\n")
     assert isinstance(decode_stream_line(received.readline()), Greeting)
