--- a/benchmarks/faults/__init__.py
+++ b/benchmarks/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Real fronts side by side under injected faults, with a checker that reads the wire by itself."""
+"""Benchmark of real fronts under injected faults; its checker decodes the network traffic independently."""
--- a/benchmarks/faults/clients.py
+++ b/benchmarks/faults/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the fault benchmark: they send requests, cancel, close and reset, and note what comes back."""
+"""Clients of the fault benchmark: they send requests, cancel, close and reset, and record the responses."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from .upstream import padding_of
 
 OBJECTS = 60
-SKEW = 3  # a few objects are asked for most
+SKEW = 3  # exponent of the draw of object ids; most requests are for a few objects
 CLASSES = ("dish-media", "menu-pages", NON_IDEMPOTENT_CLASS)
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close resets the connection
+RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER with which close() resets the connection
 SHORT_TIMEOUT = (0.025, 0.2)  # seconds
-USUAL_TIMEOUT = (0.8, 2.0)
-LEAVE_SHARE = 0.25  # of the requests whose clients cancel, close or reset
-PAUSED_READ_SHARE = 0.1  # of the requests after which a connection is not read for a while
+USUAL_TIMEOUT = (0.8, 2.0)  # seconds
+ABANDONED_SHARE = 0.25  # share of requests whose client cancels, closes or resets
+PAUSED_READ_SHARE = 0.1  # share of requests after which the client stops reading for a while
 MAX_READ_PAUSE = 0.15  # seconds
-SHARED_CONNECTIONS = 3  # connections that a front's clients share
-SINGLE_USE_SHARE = 0.15  # of the requests on a connection of their own
+SHARED_CONNECTIONS = 3  # number of shared connections to a front
+SINGLE_USE_SHARE = 0.15  # share of requests that use a connection of their own
 
 
 class Connection:
-    """One connection to a front, read strictly; it reads nothing until `reads_paused_until`."""
+    """One connection to a front, which pauses reads until `reads_paused_until`, a monotonic time."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.sock = socket.create_connection(address, 2)
@@ -43,7 +43,7 @@
         self.reader = gevent.spawn(self._read)
 
     def send(self, request: Request, pause: float = 0.0) -> int:
-        """Write a request, in two pieces if there is a pause, in seconds; return its tag."""
+        """Write a request, in two pieces if `pause` seconds are given between them; return its tag."""
         tag = next(self.tags)
         request.opens_connection = not self.requests
         self.requests[tag] = request
@@ -52,7 +52,7 @@
             f"entity={request.object_id:016x},block=0,family={request.object_id % 200}"
         )
         words = (b"ASK", b"%d" % tag, request.class_name.encode(), fields.encode(), b"")
-        data = _array(words)
+        data = _encode_command(words)
         with self.write_lock:
             if pause:
                 self.sock.sendall(data[: len(data) // 2])
@@ -65,11 +65,11 @@
     def cancel(self, tag: int) -> None:
         """Cancel a request."""
         with self.write_lock:
-            self.sock.sendall(_array((b"NEVERMIND", b"%d" % tag)))
+            self.sock.sendall(_encode_command((b"NEVERMIND", b"%d" % tag)))
         self.requests[tag].client_left_at = time.monotonic()
 
     def close(self, reset: bool) -> None:
-        """Close or reset the connection, with all that is open on it."""
+        """Close or reset the connection, which abandons all open requests on it."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         self.closed = True
@@ -110,12 +110,12 @@
             request.malformed = True
 
 
-def _array(words: tuple[bytes, ...]) -> bytes:
+def _encode_command(words: tuple[bytes, ...]) -> bytes:
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(one), one) for one in words)
 
 
 def cut_response(buffer: bytes) -> tuple[list[bytes], bytes] | None:
-    """Return the parts of the first complete response, and what follows it; None: there is none."""
+    """Return the parts of the first response and the rest of the buffer; None while it is incomplete."""
     head, _, rest = buffer.partition(b"\r\n")
     if not _:
         return None
@@ -129,7 +129,7 @@
     return words, rest
 
 
-BAD_BYTES = (
+MALFORMED_INPUTS = (
     b"*3\r\n$3\r\nASK\r\n$1\r\n",
     b"GET / HTTP/1.1\r\n\r\n",
     b"*4\r\n$99999999\r\n",
@@ -138,25 +138,25 @@
 )
 
 
-def send_bad_bytes(address: tuple[str, int], random_source: random.Random) -> None:
-    """Send what is no request, or nothing, stay connected for a while, and close or reset."""
+def send_malformed_input(address: tuple[str, int], random_source: random.Random) -> None:
+    """Send malformed data or nothing, stay connected for up to a second, then close or reset."""
     with suppress(OSError):
         sock = socket.create_connection(address, 2)
-        sock.sendall(random_source.choice(BAD_BYTES))
+        sock.sendall(random_source.choice(MALFORMED_INPUTS))
         gevent.sleep(random_source.uniform(0, 1.0))
         if random_source.random() < 0.5:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         sock.close()
 
 
-CROWD_PAUSE = 0.002  # seconds between two connections of a crowd
-CROWD_RETRY_PAUSE = 0.05  # seconds after a connection that failed
-FLOOD_REQUESTS = 32  # on one connection at once, as many as the protocol allows
-FLOOD_INTERVAL = (0.3, 1.0)  # seconds
+CROWD_CONNECT_INTERVAL = 0.002  # seconds between two new idle connections
+CROWD_RETRY_INTERVAL = 0.05  # seconds of delay after a failed connection, or while all are open
+FLOOD_REQUESTS = 32  # limit of the protocol for open requests on one connection
+FLOOD_INTERVAL = (0.3, 1.0)  # seconds between two floods
 
 
 class Crowd:
-    """Idle connections to one front, made anew as the front closes them, until `stopped`."""
+    """Idle connections to one front, which are replaced as the front closes them, until `stopped`."""
 
     def __init__(self, address: tuple[str, int], size: int) -> None:
         self.address, self.size, self.stopped = address, size, False
@@ -165,18 +165,18 @@
 
     def _run(self) -> None:
         while not self.stopped:
-            gevent.sleep(CROWD_PAUSE if len(self.open) < self.size else CROWD_RETRY_PAUSE)
+            gevent.sleep(CROWD_CONNECT_INTERVAL if len(self.open) < self.size else CROWD_RETRY_INTERVAL)
             if len(self.open) < self.size:
                 try:
                     sock = socket.create_connection(self.address, 2)
                 except OSError:
-                    gevent.sleep(CROWD_RETRY_PAUSE)
+                    gevent.sleep(CROWD_RETRY_INTERVAL)
                     continue
                 self.open.add(sock)
-                gevent.spawn(self._rest, sock)
+                gevent.spawn(self._hold_open, sock)
 
-    def _rest(self, sock: socket.socket) -> None:
-        """Keep a connection until the front closes it."""
+    def _hold_open(self, sock: socket.socket) -> None:
+        """Keep an idle connection open until the front closes it."""
         with suppress(OSError):
             sock.settimeout(None)
             while sock.recv(1 << 12):
@@ -185,15 +185,15 @@
         sock.close()
 
     def stop(self) -> None:
-        """Connect no more; the open connections stay until the front closes them."""
+        """Stop opening connections; open ones stay until the front closes them."""
         self.stopped = True
 
 
 class Clients:
-    """The clients of one front: about `rate` requests a second until they are `stopped`.
+    """Clients of one front, which send `rate` requests per second on average until `stopped`.
 
-    Once the front shuts down they make new connections until `connects_until`, and read without pauses, so
-    that the time at which a connection was closed is known.
+    Once the front shuts down, new connections are opened only until `connects_until`, and reads are no longer
+    paused, so that the recorded time of a closed connection is exact.
     """
 
     _numbers = itertools.count(1)
@@ -214,26 +214,26 @@
             gevent.spawn(self._send_request)
 
     def _send_request(self) -> None:
-        draws = self.random_source
+        rng = self.random_source
         request = self._draw_request()
-        once = draws.random() < SINGLE_USE_SHARE and self._may_connect()
+        single_use = rng.random() < SINGLE_USE_SHARE and self._may_connect()
         with suppress(OSError):
-            connection = Connection(self.address) if once else self._connection()
+            connection = Connection(self.address) if single_use else self._connection()
             if connection is None:
                 return
             self.records.requests[request.trace] = request
-            tag = connection.send(request, draws.uniform(0, 0.1) if self.slow_writers else 0.0)
-            if draws.random() < PAUSED_READ_SHARE and self.connects_until == math.inf:
-                connection.reads_paused_until = time.monotonic() + draws.uniform(0, MAX_READ_PAUSE)
-            if draws.random() < LEAVE_SHARE:
-                gevent.sleep(draws.choice((0.0, draws.uniform(0, 0.05), draws.uniform(0, 0.5))))
-                self._leave(connection, tag, request, once)
-            if once:
+            tag = connection.send(request, rng.uniform(0, 0.1) if self.slow_writers else 0.0)
+            if rng.random() < PAUSED_READ_SHARE and self.connects_until == math.inf:
+                connection.reads_paused_until = time.monotonic() + rng.uniform(0, MAX_READ_PAUSE)
+            if rng.random() < ABANDONED_SHARE:
+                gevent.sleep(rng.choice((0.0, rng.uniform(0, 0.05), rng.uniform(0, 0.5))))
+                self._abandon(connection, tag, request, single_use)
+            if single_use:
                 gevent.sleep(request.timeout_s + 1.0)
                 connection.close(False)
 
     def send_flood(self) -> None:
-        """Send as many requests at once as one connection may have open."""
+        """Send the maximum number of concurrent requests on one new connection."""
         if not self._may_connect():
             return
         with suppress(OSError):
@@ -246,20 +246,20 @@
             connection.close(False)
 
     def _draw_request(self) -> Request:
-        draws = self.random_source
-        span = SHORT_TIMEOUT if draws.random() < 0.15 else USUAL_TIMEOUT
+        rng = self.random_source
+        timeout_range = SHORT_TIMEOUT if rng.random() < 0.15 else USUAL_TIMEOUT
         return Request(
             f"{next(self._numbers):016x}",
             self.front,
-            draws.choices(CLASSES, (5, 4, 1))[0],
-            1 + int(OBJECTS * draws.random() ** SKEW),
-            int(draws.uniform(*span) * 1000) / 1000,
+            rng.choices(CLASSES, (5, 4, 1))[0],
+            1 + int(OBJECTS * rng.random() ** SKEW),
+            int(rng.uniform(*timeout_range) * 1000) / 1000,
         )
 
-    def _leave(self, connection: Connection, tag: int, request: Request, once: bool) -> None:
+    def _abandon(self, connection: Connection, tag: int, request: Request, single_use: bool) -> None:
         if request.answered_at or connection.closed:
             return
-        if once:
+        if single_use:
             connection.close(self.random_source.random() < 0.5)
         else:
             connection.cancel(tag)
@@ -268,7 +268,7 @@
         return time.monotonic() < self.connects_until
 
     def _connection(self) -> Connection | None:
-        """Return an open connection, or a new one; None if no new one may be made."""
+        """Return an open shared connection or a new one; None if there is neither."""
         self.shared = [one for one in self.shared if not one.closed]
         if len(self.shared) >= SHARED_CONNECTIONS:
             return self.random_source.choice(self.shared)
--- a/benchmarks/faults/fault_kinds.py
+++ b/benchmarks/faults/fault_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of faults: what each does to a running fleet, until it is killed."""
+"""Kinds of faults; each injection runs until its greenlet is killed."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 import gevent
 
-from .clients import FLOOD_INTERVAL, Clients, Crowd, send_bad_bytes
+from .clients import FLOOD_INTERVAL, Clients, Crowd, send_malformed_input
 from .records import Records
 from .shim import FaultControl
 from .upstream import FaultyCache, FaultyDiscovery
 
-CLOCK_STEPS = (0.0, 3600.0, -3600.0, 4.0, -4.0, 900.0, -2.0)  # seconds off, of the wall clock
+CLOCK_STEPS = (0.0, 3600.0, -3600.0, 4.0, -4.0, 900.0, -2.0)  # errors of the wall clock in seconds
 ACCEPT_ERRNOS = (errno.ECONNABORTED, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
 TRANSIENT_ERRNOS = (errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN)
-USUAL_FRONTS = 24  # in a smaller fleet each front is stopped as often
+REFERENCE_FRONTS = 24  # the interval of stops scales with it, so each front of any fleet is stopped as often
 FAULTS = (
     "stops",
     "clock",
@@ -34,8 +34,8 @@
     "flood",
     "end",
 )
-CROWD_SIZE = 150  # idle connections to a front, more than its limit of descriptors allows there
-CROWDED_DESCRIPTORS = 150  # limit of descriptors of each front in a run with a crowd
+CROWD_SIZE = 150  # idle connections to a front, more than its descriptor limit in such a run allows
+CROWD_DESCRIPTOR_LIMIT = 150  # descriptor limit of each front in a run with "crowd"
 SIGNAL_PAUSE = (0.002, 0.03)  # seconds between two signals of a series
 
 
@@ -45,24 +45,24 @@
     random_source: random.Random,
     until: Callable[[], object],
 ) -> None:
-    """Send a process signals one after the other until a condition holds or it has ended."""
+    """Send random signals to a process until `until` returns true or the process has ended."""
     while process.poll() is None and not until():
         process.send_signal(random_source.choice(numbers))
         gevent.sleep(random_source.uniform(*SIGNAL_PAUSE))
 
 
 class FaultInjector:
-    """Injects faults into the parts of a run. "skew" and "end" act at its start and its end alone.
+    """Injects faults during a run. "skew" and "end" are absent, since they act only at its start and its end.
 
     Args:
-        random_source: Draws all faults.
-        processes: The fronts.
-        controls: By front, its preloaded library.
-        configurations: By front, its configuration file.
-        caches: The caches; the first drains, and keeps to the protocol.
-        discovery: The discovery service.
-        clients: By front, its clients.
-        records: Gets the stops of the fronts.
+        random_source: Random source of all faults.
+        processes: Processes of the fronts.
+        controls: Controls of the preloaded library, by front.
+        configurations: Paths of the configuration files, by front.
+        caches: All caches; the first one drains during the run and is not made to hang.
+        discovery: Discovery service of all fronts.
+        clients: Clients, by front.
+        records: Records to which stops of fronts are added.
     """
 
     def __init__(
@@ -87,22 +87,22 @@
             "caches": self._disturb_caches,
             "clients": self._disturb_clients,
             "signals": self._send_signals,
-            "crowd": self._gather_crowds,
+            "crowd": self._open_crowds,
             "flood": self._flood_fronts,
         }
         self.crowds: list[Crowd] = []
 
-    def acting(self, faults: tuple[str, ...]) -> list[str]:
-        """Return those of these faults that are injected while the run goes on."""
+    def active(self, faults: tuple[str, ...]) -> list[str]:
+        """Return the faults among these that are injected throughout the run."""
         return [fault for fault in faults if fault in self._injections]
 
-    def start(self, acting: list[str]) -> list[gevent.Greenlet]:
-        """Start to inject these faults, each in a greenlet."""
-        return [gevent.spawn(self._injections[fault]) for fault in acting]
+    def start(self, active: list[str]) -> list[gevent.Greenlet]:
+        """Start the injection of these faults, each in its own greenlet."""
+        return [gevent.spawn(self._injections[fault]) for fault in active]
 
     def _stop_fronts(self) -> None:
         while True:
-            gevent.sleep(self._random.uniform(0.01, 0.1) * USUAL_FRONTS / len(self._processes))
+            gevent.sleep(self._random.uniform(0.01, 0.1) * REFERENCE_FRONTS / len(self._processes))
             number = self._random.randrange(len(self._processes))
             gevent.spawn(self._stop_front, number, self._random.uniform(0.15, 0.4))
 
@@ -152,9 +152,9 @@
             clients.slow_writers = True
         while True:
             gevent.sleep(0.01)
-            gevent.spawn(send_bad_bytes, self._random.choice(self._clients).address, self._random)
+            gevent.spawn(send_malformed_input, self._random.choice(self._clients).address, self._random)
 
-    def _gather_crowds(self) -> None:
+    def _open_crowds(self) -> None:
         self.crowds = [Crowd(clients.address, CROWD_SIZE) for clients in self._clients]
 
     def _flood_fronts(self) -> None:
@@ -163,7 +163,7 @@
             gevent.spawn(self._random.choice(self._clients).send_flood)
 
     def _send_signals(self) -> None:
-        """Reload the same configuration, also while its file is incomplete, and ask for counters."""
+        """Send reload signals, also while the configuration file is incomplete, and requests for counters."""
         while True:
             gevent.sleep(0.02)
             number = self._random.randrange(len(self._processes))
--- a/benchmarks/faults/run.py
+++ b/benchmarks/faults/run.py
@@ -1,4 +1,4 @@
-"""One run: a fleet of fronts under some kinds of faults, and the rules that it broke."""
+"""One run of the fault benchmark: a fleet of fronts under some kinds of faults."""
 
 from __future__ import annotations
 
@@ -22,38 +22,38 @@
 from marbleglade.testing.sockets import reserve_address
 
 from .clients import OBJECTS, SKEW, Clients
-from .fault_kinds import CLOCK_STEPS, CROWDED_DESCRIPTORS, FaultInjector, send_signal_series
+from .fault_kinds import CLOCK_STEPS, CROWD_DESCRIPTOR_LIMIT, FaultInjector, send_signal_series
 from .records import BrokenRule, Records, broken_rules
 from .shim import FaultControl
 from .upstream import FaultyCache, FaultyDiscovery
 
-LONGEST_DEADLINE = 3.0  # seconds, of the settings' classes
-KILL_MARGIN = 0.7  # seconds that a front has beside it to shut down
-READY_TIMEOUT = 60.0
-DRAIN_AT = 1.0  # seconds into a run; slow discovery has 7 s from then on
-PURGE_INTERVAL = 0.3
+LONGEST_DEADLINE = 3.0  # seconds; the longest deadline of the request classes in the settings
+KILL_MARGIN = 0.7  # seconds that a front has for its shutdown in addition to the longest deadline
+READY_TIMEOUT = 60.0  # seconds
+DRAIN_AT = 1.0  # seconds from the start of a run; slow discovery then has 7 s to publish it
+PURGE_INTERVAL = 0.3  # seconds
 FRESHNESS_MS = 20_000.0
-USUAL_DESCRIPTORS = 600
-LAST_CONNECTIONS = (0.2, 0.4)  # seconds after SIGTERM in which new connections come
-GROUP_PAUSE = (0.2, 1.0)  # seconds between two groups of fronts that end
+DEFAULT_DESCRIPTOR_LIMIT = 600
+CONNECT_PERIOD = (0.2, 0.4)  # seconds after SIGTERM for which clients still open connections
+GROUP_PAUSE = (0.2, 1.0)  # seconds between the shutdowns of two groups of fronts
 RELOAD_SIGNALS = (signal.SIGHUP, signal.SIGUSR1)
 ALL_SIGNALS = (*RELOAD_SIGNALS, signal.SIGTERM)
-TURN = 0.005  # seconds between two looks at this process's own lateness
+POLL_INTERVAL = 0.005  # seconds between two checks for delays of this process
 
 
 @dataclass(frozen=True, slots=True)
 class RunOptions:
-    """What all runs share.
+    """Options of a run.
 
     Attributes:
-        seed: Draws faults, requests and clock errors.
+        seed: Seed of faults, requests and clock errors.
         fronts: Number of fronts.
-        cores: Cores that the fronts run on.
+        cores: CPU cores on which the fronts run.
         caches: Number of caches.
         rate: Requests per second and front.
-        seconds: Length of the run.
-        clients_stay: Clients go on through the shutdown, until each front is killed at the earliest moment.
-        group_size: With `clients_stay`, fronts that end at once, group after group; 0: all.
+        seconds: Duration of the run.
+        clients_stay: Whether clients stay active until each front is killed, as early as is allowed.
+        group_size: With `clients_stay`, number of fronts that shut down together; 0 for all.
     """
 
     seed: int = 1
@@ -68,7 +68,7 @@
 
 @contextmanager
 def early_signals_ignored() -> Iterator[None]:
-    """Have processes started meanwhile ignore reload signals until Python runs, as the deploy file does."""
+    """Start processes with reload signals ignored until their Python code runs, as the deploy file does."""
     handlers = {number: signal.signal(number, signal.SIG_IGN) for number in RELOAD_SIGNALS}
     yield
     for number, handler in handlers.items():
@@ -79,10 +79,10 @@
     """One fleet under some kinds of faults.
 
     Args:
-        options: What all runs share.
-        faults: Names of the kinds.
-        folder: Where configurations and logs are written.
-        shim: The preloaded library.
+        options: Options of the run.
+        faults: Names of the kinds of faults.
+        folder: Folder for configuration files and logs.
+        shim: Path of the preloaded library.
     """
 
     def __init__(self, options: RunOptions, faults: tuple[str, ...], folder: Path, shim: Path) -> None:
@@ -96,12 +96,12 @@
         self._sources = [FaultyCache(kind, kind, self.records, self._random) for kind in ("hub", "root")]
         self._discovery = FaultyDiscovery(self.records)
         self._discovery.announce_caches([*self._caches, *self._sources])
-        self._reserved = [reserve_address() for _ in range(options.fronts)]
+        self._reserved_sockets = [reserve_address() for _ in range(options.fronts)]
         self._controls = [FaultControl(folder / f"control{number}") for number in range(options.fronts)]
         for control in self._controls if "skew" in faults else ():
             control.step_clock(self._random.choice(CLOCK_STEPS))
         self._processes = [self._start(number) for number in range(options.fronts)]
-        gevent.spawn(self._watch_own_stops)
+        gevent.spawn(self._record_harness_stalls)
 
     def _configuration_path(self, number: int) -> Path:
         return self._folder / f"f{number}.json"
@@ -111,12 +111,12 @@
         settings["Specifics"] |= {"MaxAge": [FRESHNESS_MS, FRESHNESS_MS, 0.0], "ClearedWithin": 1000.0}
         configuration = front_configuration(
             f"f{number}",
-            self._reserved[number].getsockname(),
+            self._reserved_sockets[number].getsockname(),
             self._discovery.address,
             settings,
             f"{self._options.seed + number:x}",
             self._discovery.event_lines[:1],
-            descriptors=CROWDED_DESCRIPTORS if self.records.is_crowded else USUAL_DESCRIPTORS,
+            descriptors=CROWD_DESCRIPTOR_LIMIT if self.records.is_crowded else DEFAULT_DESCRIPTOR_LIMIT,
         )
         configuration |= {"flow_bytes_per_s": 1_000_000, "link_bytes_per_s": 4_000_000}
         path = self._configuration_path(number)
@@ -135,22 +135,22 @@
                 events.append(json.loads(line))
         return [event for event in events if event["event"] == name]
 
-    def _watch_own_stops(self) -> None:
-        """Note when this process itself had no turn: what it noted then is late as well."""
+    def _record_harness_stalls(self) -> None:
+        """Record when this process did not run, since times that it recorded then are late as well."""
         last = time.monotonic()
         while True:
-            gevent.sleep(TURN)
+            gevent.sleep(POLL_INTERVAL)
             now = time.monotonic()
-            if now - last > 4 * TURN:
-                self.records.own_stops.append((now, now - last))
+            if now - last > 4 * POLL_INTERVAL:
+                self.records.harness_stalls.append((now, now - last))
             last = now
 
     def run(self) -> list[BrokenRule]:
-        """Run to the end; return the rules that were broken."""
+        """Run to the end; return the broken rules."""
         self._wait_until_ready()
         clients = [
             Clients(number, sock.getsockname(), self._options.rate, self.records, self._options.seed)
-            for number, sock in enumerate(self._reserved)
+            for number, sock in enumerate(self._reserved_sockets)
         ]
         configurations = [self._configuration_path(number) for number in range(self._options.fronts)]
         injector = FaultInjector(
@@ -163,17 +163,17 @@
             clients,
             self.records,
         )
-        acting = injector.acting(self._faults)
-        injections = injector.start(acting)
+        active = injector.active(self._faults)
+        injections = injector.start(active)
         gevent.sleep(DRAIN_AT)
         self._discovery.drain(self._caches[0])
         purging = gevent.spawn(self._purge_objects)
         gevent.sleep(self._options.seconds - DRAIN_AT)
         if self._options.clients_stay:
-            # A stop in the last half second can't be made up for, so there are none in the shutdown.
-            gevent.killall([each for each, fault in zip(injections, acting, strict=True) if fault == "stops"])
+            # A front can't make up for a stop in its last half second, so none occur during the shutdown.
+            gevent.killall([each for each, fault in zip(injections, active, strict=True) if fault == "stops"])
             self._signal_all(signal.SIGCONT)
-            self._end_under_load(clients)
+            self._shut_down_under_load(clients)
             gevent.killall([purging, *injections])
         else:
             gevent.killall([purging, *injections])
@@ -183,10 +183,10 @@
             self._shut_down()
         for crowd in injector.crowds:
             crowd.stop()
-        return broken_rules(self.records) + self._crashes()
+        return broken_rules(self.records) + self._front_failures()
 
     def _wait_until_ready(self) -> None:
-        """Wait until all fronts are ready, with "signals" under a series of them."""
+        """Wait until all fronts are ready; with "signals", send signals to them meanwhile."""
         with gevent.Timeout(READY_TIMEOUT):
             for number, process in enumerate(self._processes if "signals" in self._faults else ()):
                 gevent.spawn(
@@ -198,32 +198,32 @@
     def _is_ready(self, number: int) -> bool:
         return b'"event":"ready"' in (self._folder / f"f{number}.log").read_bytes()
 
-    def _end_under_load(self, clients: list[Clients]) -> None:
-        """End the fronts, one group after the other, while their clients go on."""
+    def _shut_down_under_load(self, clients: list[Clients]) -> None:
+        """Shut down the fronts group by group while their clients stay active."""
         size = self._options.group_size or self._options.fronts
         endings = []
         for first in range(0, self._options.fronts, size):
             if first:
                 gevent.sleep(self._random.uniform(*GROUP_PAUSE))
             group = range(first, min(first + size, self._options.fronts))
-            endings += [gevent.spawn(self._end_front, number, clients[number]) for number in group]
+            endings += [gevent.spawn(self._shut_down_front, number, clients[number]) for number in group]
         gevent.joinall(endings, raise_error=True)
         gevent.sleep(0.2)
 
-    def _end_front(self, number: int, clients: Clients) -> None:
-        """End one front: SIGTERM, with "signals" a series of them, and SIGKILL as early as is allowed."""
+    def _shut_down_front(self, number: int, clients: Clients) -> None:
+        """Send SIGTERM to a front, with "signals" further signals, and SIGKILL as early as is allowed."""
         process = self._processes[number]
         if "end" in self._faults:
             for cache in self._caches:
                 cache.hangs = True
         process.send_signal(signal.SIGTERM)
         now = time.monotonic()
-        self.records.killed_at[number] = killed_at = now + LONGEST_DEADLINE + KILL_MARGIN
-        clients.connects_until = now + self._random.uniform(*LAST_CONNECTIONS)
+        self.records.kill_due_at[number] = kill_due_at = now + LONGEST_DEADLINE + KILL_MARGIN
+        clients.connects_until = now + self._random.uniform(*CONNECT_PERIOD)
         if "signals" in self._faults:
             gevent.spawn(send_signal_series, process, ALL_SIGNALS, self._random, lambda: False)
-        while process.poll() is None and time.monotonic() < killed_at:
-            gevent.sleep(TURN)
+        while process.poll() is None and time.monotonic() < kill_due_at:
+            gevent.sleep(POLL_INTERVAL)
         if process.poll() is None:
             self.killed.add(number)
             process.kill()
@@ -239,20 +239,20 @@
             self._discovery.purge_object(object_id)
 
     def _shut_down(self) -> None:
-        """Send SIGTERM to all, with "end" while they are stopped and every cache hangs."""
+        """Send SIGTERM to all fronts; with "end", while the fronts are stopped and all caches hang."""
         has_fault = "end" in self._faults
         if has_fault:
             for cache in (*self._caches, *self._sources):
                 cache.hangs = True
             gevent.sleep(0.1)
             self._signal_all(signal.SIGSTOP)
-        killed_at = time.monotonic() + LONGEST_DEADLINE + KILL_MARGIN
-        self.records.killed_at = dict.fromkeys(range(self._options.fronts), killed_at)
+        kill_due_at = time.monotonic() + LONGEST_DEADLINE + KILL_MARGIN
+        self.records.kill_due_at = dict.fromkeys(range(self._options.fronts), kill_due_at)
         self._signal_all(signal.SIGTERM)
         if has_fault:
             gevent.sleep(0.3)
             self._signal_all(signal.SIGCONT)
-        while time.monotonic() < killed_at + 1.0 and any(one.poll() is None for one in self._processes):
+        while time.monotonic() < kill_due_at + 1.0 and any(one.poll() is None for one in self._processes):
             gevent.sleep(0.02)
         gevent.sleep(0.2)
 
@@ -261,22 +261,22 @@
             if process.poll() is None:
                 process.send_signal(number)
 
-    def _crashes(self) -> list[BrokenRule]:
+    def _front_failures(self) -> list[BrokenRule]:
         found = []
         for number, process in enumerate(self._processes):
             code = process.poll()
             if code is None:
                 process.kill()
                 process.wait()
-                found.append(BrokenRule("crash", f"f{number} did not end"))
+                found.append(BrokenRule("crash", f"f{number} did not exit in time after SIGTERM"))
             elif code and number not in self.killed:
-                found.append(BrokenRule("crash", f"f{number} ended with {code}"))
+                found.append(BrokenRule("crash", f"f{number} exited with status {code}, expected 0"))
             for counters in self._log_events(number, "counters")[-1:]:
-                found += _faults_counted(number, counters)
+                found += _counted_faults(number, counters)
         return found
 
     def close(self) -> None:
-        """End all that is left."""
+        """Kill remaining processes and close all sockets."""
         for process in self._processes:
             if process.poll() is None:
                 process.kill()
@@ -284,15 +284,15 @@
         for cache in (*self._caches, *self._sources):
             cache.listener.close()
         self._discovery.close()
-        for sock in self._reserved:
+        for sock in self._reserved_sockets:
             sock.close()
 
 
-def _faults_counted(number: int, counters: dict[str, Any]) -> list[BrokenRule]:
+def _counted_faults(number: int, counters: dict[str, Any]) -> list[BrokenRule]:
     prefixes = ("exception.", "violated_invariant.")
     found = [
         BrokenRule("crash", f"f{number} {name}") for name in counters["counts"] if name.startswith(prefixes)
     ]
     if counters["body_budget"]["free"] != counters["body_budget"]["size"]:
-        found.append(BrokenRule("leak", f"f{number} keeps {counters['body_budget']}"))
+        found.append(BrokenRule("leak", f"f{number} leaked body budget: {counters['body_budget']}"))
     return found
--- a/benchmarks/faults/shim.py
+++ b/benchmarks/faults/shim.py
@@ -1,4 +1,4 @@
-"""The preloaded library that steps a front's wall clock, holds its polls and lets its calls fail."""
+"""Control of the preloaded library that steps a front's wall clock, blocks its polls and fails its calls."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def build_shim(folder: Path) -> Path:
-    """Compile the library with the installed compiler; return its path."""
+    """Compile the library with the installed C compiler; return the path of the library."""
     library = folder / "fault_shim.so"
     command = ["cc", "-shared", "-fPIC", "-O1", "-o", str(library), str(SOURCE), "-ldl"]
     subprocess.run(command, check=True, capture_output=True)
@@ -37,7 +37,7 @@
 
 
 class FaultControl:
-    """What the library does in one front: numbers in a file that both processes map."""
+    """Controls the library in one front through integers in a file that both processes map."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -46,18 +46,18 @@
             self._mapped = mmap.mmap(file.fileno(), 0)
 
     def environment(self, library: Path) -> dict[str, str]:
-        """Return the variables of the environment that load the library in a front."""
+        """Return the environment variables that load the library into a front."""
         return {"LD_PRELOAD": str(library), "FAULT_SHIM_CONTROL": str(self.path)}
 
     def set(self, field: str, value: int) -> None:
-        """Set one number."""
+        """Set the value of a field."""
         FIELD.pack_into(self._mapped, FIELD.size * FIELDS.index(field), value)
 
     def get(self, field: str) -> int:
-        """Return one number."""
+        """Return the value of a field."""
         value: int = FIELD.unpack_from(self._mapped, FIELD.size * FIELDS.index(field))[0]
         return value
 
     def step_clock(self, seconds: float) -> None:
-        """Set by how many seconds the front's wall clock is wrong."""
+        """Set the error of the front's wall clock in seconds."""
         self.set("clock_step_ns", int(seconds * 1e9))
--- a/benchmarks/faults/upstream.py
+++ b/benchmarks/faults/upstream.py
@@ -1,4 +1,4 @@
-"""Stand-in caches and discovery of the fault benchmark, which note what arrives and when."""
+"""Stand-in caches and discovery service of the fault benchmark, which record attempts and events."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 from .records import NON_IDEMPOTENT_CLASS, Arrival, PublishedEvent, Records
 
-FRESH_MS = 20_000  # age up to which a copy is given where the request says nothing
-SERVICE_TIME = (0.002, 0.04)  # seconds that an answer takes
-PURGE_DELAY = 0.5  # seconds after which a cache has dropped what was purged
-MISSING_BYTES = 10  # bytes that an answer lacks which is cut off
-LARGE_EVERY = 4  # one object in so many is large
+DEFAULT_MAX_AGE_MS = 20_000  # maximum age of a served copy if the request does not state one
+SERVICE_TIME = (0.002, 0.04)  # seconds until a response
+PURGE_DELAY = 0.5  # seconds after which a cache drops a purged object
+MISSING_BYTES = 10  # number of bytes missing at the end of a truncated response
+LARGE_EVERY = 4  # one object in this many is large
 LARGE_BYTES = 200_000
 
 
 def accept_connection(listener: socket.socket) -> socket.socket | None:
-    """Return the next connection; None once the listener was closed."""
+    """Return the next connection, or None once the listener is closed."""
     try:
         return listener.accept()[0]
     except OSError:
@@ -31,12 +31,12 @@
 
 
 def padding_of(object_id: int) -> int:
-    """Return the bytes that follow the first ones of an object."""
+    """Return the number of padding bytes at the end of an object's body."""
     return 0 if object_id % LARGE_EVERY else LARGE_BYTES
 
 
 def cut_request(buffer: bytes) -> tuple[list[str], bytes] | None:
-    """Return the words of the first complete request, and what follows its body; None: there is none."""
+    """Return the words of the first request and the rest of the buffer; None while it is incomplete."""
     line, end, rest = buffer.partition(b"\r\n")
     words = line.decode().split(" ")
     size = int(words[3]) + 2 if end and words[0] == "do" else 0
@@ -44,7 +44,7 @@
 
 
 class FaultyCache:
-    """Serves attempts; if it `is_faulty` some are rejected, fail, hang, are cut off or answered twice."""
+    """Serves attempts; if `is_faulty`, some are rejected, fail, hang, are truncated or answered twice."""
 
     def __init__(self, name: str, kind: str, records: Records, random_source: random.Random) -> None:
         self.name, self.kind, self.records, self.random_source = name, kind, records, random_source
@@ -55,7 +55,7 @@
         self.accept_loop = gevent.spawn(self._accept)
 
     def entry(self, state: str = "active", started_ms: int = 0) -> dict[str, object]:
-        """Return its entry in a list."""
+        """Return the cache's entry for the endpoint list."""
         zone = "z" if self.kind == "box" else "hubs"
         return {
             "id": self.name,
@@ -69,7 +69,7 @@
         }
 
     def purge(self, object_id: int) -> None:
-        """Drop an object, some time after its purge was published."""
+        """Drop an object after `PURGE_DELAY`."""
         gevent.spawn_later(PURGE_DELAY, self.issued_ms.pop, object_id, None)
 
     def _accept(self) -> None:
@@ -109,7 +109,7 @@
             self._write(sock, f"{trace} {status} - 0\r\n\r\n".encode())
             return
         response = self._encode_response(trace, fields)
-        if draw < 0.2:  # the rest never comes
+        if draw < 0.2:  # the rest is never sent
             self._write(sock, response[:-MISSING_BYTES])
             if draw >= 0.17:
                 sock.close()
@@ -122,9 +122,9 @@
             self.records.effects[trace] += 1
             body = f"{object_id:x} {now_ms}"
             return f"{trace} HIT - {len(body)}\r\n{body}\r\n".encode()
-        oldest = int(fields.get("within", "0")) or FRESH_MS
+        max_age_ms = int(fields.get("within", "0")) or DEFAULT_MAX_AGE_MS
         issued = self.issued_ms.get(object_id, 0)
-        if now_ms - issued > oldest:
+        if now_ms - issued > max_age_ms:
             issued = self.issued_ms[object_id] = now_ms
         body = f"{object_id:x} {issued} {'x' * padding_of(object_id)}"
         head = f"{trace} HIT entity={issued:016x},issued={issued} {len(body)}\r\n"
@@ -139,7 +139,7 @@
     """A discovery service that can be slow or silent.
 
     Attributes:
-        delay: Seconds until a new watch gets its first line.
+        delay: Seconds before a new watcher receives its first line.
     """
 
     def __init__(self, records: Records) -> None:
@@ -147,7 +147,7 @@
         super().__init__()
 
     def drain(self, cache: FaultyCache) -> None:
-        """Publish that a cache drains, for good."""
+        """Publish that a cache drains; it does not return to service."""
         event = self._new_event(cache=cache.name)
         self._publish_list([cache.entry("leaving")], full_list=False)
         self._records.published.append(event)
@@ -159,17 +159,17 @@
         self._records.published.append(event)
 
     def announce_caches(self, caches: list[FaultyCache]) -> None:
-        """Publish the full list."""
+        """Publish the full endpoint list."""
         self._publish_list([cache.entry() for cache in caches], full_list=True)
 
     def break_watches(self) -> None:
-        """Close all watches."""
+        """Close the connections of all watchers."""
         for sock in list(self.watchers):
             sock.close()
         self.watchers.clear()
 
     def fall_silent(self) -> None:
-        """Send nothing more on open watches, which stay open."""
+        """Stop sending to current watchers, whose connections stay open."""
         self.watchers.clear()
 
     def _new_event(self, cache: str = "", object_id: int = 0) -> PublishedEvent:
--- a/benchmarks/maintenance/__init__.py
+++ b/benchmarks/maintenance/__init__.py
@@ -1,6 +1,6 @@
-"""Maintenance plans carried out by the fronts, beside a fixed list and a lock without leases or majority.
+"""Benchmark of maintenance plans carried out by the fronts, compared with two baselines.
 
-Measured are processes of the program under load with faults drawn from the seed, the fleet's core on
-simulated time by the hundred, and the baselines. All figures come from stand-ins on loopback and simulated
-machines.
+It measures real front processes under load with faults drawn from the seed, and hundreds of simulated fronts
+that run the fleet code on simulated time. The baselines are a fixed schedule, and a lock without leases or
+majority. All figures come from stand-ins on loopback and simulated machines.
 """
--- a/benchmarks/maintenance/__main__.py
+++ b/benchmarks/maintenance/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m benchmarks.maintenance`: its last line is one JSON object. Exit code 1: a rule broke."""
+"""`python -m benchmarks.maintenance`: prints figures, the last line as one JSON object.
+
+The exit code is 1 if a rule was broken, a machine was left undone, or the lock never had two fronts out.
+"""
 
 from __future__ import annotations
 
@@ -32,15 +35,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulatedResult:
-    """What the fleet's core did on simulated time, with every machine once.
+    """Result of one simulated plan for all machines.
 
     Attributes:
         machines: Number of machines.
-        done: Machines that were worked on.
-        worst_out: Most machines out at once.
-        max_out: Allowed.
-        seconds: Simulated duration.
-        bytes_per_machine: Of datagrams about maintenance.
+        done: Number of machines whose maintenance is complete.
+        worst_out: Highest number of machines out of service at once.
+        max_out: Allowed number of machines out of service at once.
+        seconds: Simulated duration in seconds.
+        bytes_per_machine: Bytes of maintenance datagrams per machine.
     """
 
     machines: int
@@ -52,19 +55,19 @@
 
 
 class Durations(NamedTuple):
-    """Seconds that a plan for all machines takes without faults: by its limits, and one machine at a time."""
+    """Fault-free durations of a plan for all machines in seconds: with limits, and one machine at a time."""
 
     planned: float
     one_by_one: float
 
 
 def limits_of(at_once: int) -> tuple[ConcurrencyLimit, ...]:
-    """Return the limits that allow so many machines of each kind to be out."""
+    """Return limits that allow `at_once` fronts and as many caches to be out of service at once."""
     return ConcurrencyLimit(at_once, Kind.FRONT), ConcurrencyLimit(at_once, Kind.CACHE)
 
 
 def simulate(seed: int, fronts: int, caches: int, at_once: int) -> SimulatedResult:
-    """Run the core alone, with losses and a cut."""
+    """Simulate a plan for all machines, with datagram losses and a network partition."""
     simulation = MaintenanceSimulation(fronts, caches, seed)
     network = simulation.network
     network.loss_rate = LOSS_RATE
@@ -90,19 +93,19 @@
     )
 
 
-def print_results(simulated: SimulatedResult, seconds: Durations, lock_worst: int) -> None:
-    """Print what was simulated, and the baselines."""
+def print_results(simulated: SimulatedResult, seconds: Durations, lock_worst_out: int) -> None:
+    """Print the results of the simulation and of the baselines."""
     print(
         f"simulated: {simulated.done} of {simulated.machines} machines in {simulated.seconds:.0f} s with "
         f"losses and a cut, planned {seconds.planned:.0f} s, one by one {seconds.one_by_one:.0f} s; at most "
         f"{simulated.worst_out} out, {simulated.max_out} allowed; "
         f"{simulated.bytes_per_machine:.0f} B of datagrams a machine"
     )
-    print(f"a lock without leases or majority, cut in two: {lock_worst} out at once, 1 allowed")
+    print(f"a lock without leases or majority, cut in two: {lock_worst_out} out at once, 1 allowed")
 
 
 def print_run(run: FleetMaintenance) -> None:
-    """Print what the processes did."""
+    """Print the results of the run with real processes."""
     print(
         f"processes: {run.done_count} of {FRONTS + CACHES} in {run.total_seconds:.1f} s, served "
         f"{run.share:.3f} ({run.share_before:.3f} before), {dict(run.rules())}",
@@ -115,7 +118,7 @@
     """Run the benchmark; return the exit code."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.maintenance", description=__doc__)
     parser.add_argument("--seed", type=int, default=11)
-    parser.add_argument("--quick", action="store_true", help="ends within 45 s")
+    parser.add_argument("--quick", action="store_true", help="smaller run that ends within 45 s")
     arguments = parser.parse_args()
     fronts, at_once = (30, 4) if arguments.quick else (200, 10)
     simulated = simulate(arguments.seed, fronts, fronts, at_once)
@@ -125,8 +128,8 @@
             for limits in (limits_of(at_once), (ConcurrencyLimit(1),))
         )
     )
-    lock_worst = LockSimulation(arguments.seed, LOCK_FRONTS).worst_out()
-    print_results(simulated, seconds, lock_worst)
+    lock_worst_out = LockSimulation(arguments.seed, LOCK_FRONTS).worst_out()
+    print_results(simulated, seconds, lock_worst_out)
     run = FleetMaintenance(arguments.seed, 26 if arguments.quick else 90).run()
     print_run(run)
     rules = run.rules()
@@ -141,13 +144,13 @@
         "total_s": simulated.seconds,
         "total_s_one_by_one": seconds.one_by_one,
         "bytes_per_machine": simulated.bytes_per_machine,
-        "lock_out_at_once": lock_worst,
+        "lock_out_at_once": lock_worst_out,
         "processes_done": run.done_count,
     }
     print(json.dumps({name: round(value, 4) for name, value in figures.items()}))
     is_complete = simulated.done == simulated.machines and run.done_count == FRONTS + CACHES
     is_broken = any(rules[name] for name in RULES) or rules["wrong"] > 0
-    return int(is_broken or not is_complete or lock_worst < 2)
+    return int(is_broken or not is_complete or lock_worst_out < 2)
 
 
 if __name__ == "__main__":
--- a/benchmarks/maintenance/baselines.py
+++ b/benchmarks/maintenance/baselines.py
@@ -1,4 +1,4 @@
-"""What the fronts' own scheduling is compared with: a fixed list, and a lock without leases or majority."""
+"""Baselines for the fronts' own scheduling: a fixed schedule, and a lock without leases or majority."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from .simulation import NS_PER_MS, NS_PER_S, STEP
 
 CREATED_MS = 10**12
-LOCK_CUT = (4 * NS_PER_S, 12 * NS_PER_S)
-LOCK_RUN = 40 * NS_PER_S
-LOCK_WORK = 3 * NS_PER_S
-LOCK_TIMEOUT = NS_PER_S
+LOCK_CUT = (4 * NS_PER_S, 12 * NS_PER_S)  # begin and end of the network partition
+LOCK_RUN = 40 * NS_PER_S  # duration of the simulation
+LOCK_WORK = 3 * NS_PER_S  # time that a front stays out of service
+LOCK_TIMEOUT = NS_PER_S  # an announcement this old no longer counts
 ANNOUNCE_INTERVAL = 250 * NS_PER_MS
 
 
 def planned_seconds(
     fronts: int, caches: int, takes_ms: int, warm_up_ms: int, limits: tuple[ConcurrencyLimit, ...]
 ) -> float:
-    """Return the duration of a plan for all machines without any fault, each after the last is warm."""
+    """Return the fault-free duration in seconds of a plan for all machines, until the last one is warm."""
     machines = tuple(Machine(front_name(number), Kind.FRONT) for number in range(fronts)) + tuple(
         Machine(f"box{number}", Kind.CACHE, "z") for number in range(caches)
     )
@@ -37,19 +37,19 @@
 
 
 class LockSimulation:
-    """Fronts that go out of service once no other front that they hear says that it is out.
+    """Simulates fronts that go out of service once they receive no announcement that another front is out.
 
-    The fleet is cut in two for a while; one front is allowed to be out at a time.
+    The network is partitioned in two for a while; one front is allowed to be out at a time.
 
     Args:
-        seed: Seed of the network.
+        seed: Seed of the simulated network.
         fronts: Number of fronts.
     """
 
     def __init__(self, seed: int, fronts: int) -> None:
         self._fronts = fronts
         self._now = 0
-        self._heard_at: dict[int, dict[int, int]] = defaultdict(dict)  # by front: when another said it is out
+        self._heard_at: dict[int, dict[int, int]] = defaultdict(dict)  # by receiver, sender
         self._out_until: dict[int, int] = {}
         self._done: set[int] = set()
         self._network = SimulatedNetwork(seed, self._deliver)
@@ -63,7 +63,7 @@
         self._heard_at[receiver][sender] = now
 
     def worst_out(self) -> int:
-        """Run to the end; return the most fronts that were out at once."""
+        """Run to the end; return the highest number of fronts that were out of service at once."""
         worst = 0
         while self._now < LOCK_RUN:
             self._now += STEP
--- a/benchmarks/maintenance/simulation.py
+++ b/benchmarks/maintenance/simulation.py
@@ -1,4 +1,4 @@
-"""Maintenance on simulated time: the fleet's core by the hundred, with machines that are worked on."""
+"""Simulation of maintenance in a large fleet: the fleet code of each front runs on simulated time."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 NS_PER_S = 1000 * NS_PER_MS
 HEARTBEAT = NS_PER_S
 LEASE = 6 * HEARTBEAT
-STEP = 50 * NS_PER_MS
-STEPS_PER_TICK = 5
+STEP = 50 * NS_PER_MS  # resolution of simulated time
+STEPS_PER_TICK = 5  # each front runs its timers once in this many steps
 START = 100 * NS_PER_S
 FIRST_START_MS = 1_700_000_000_000
 NEVER = 1 << 62
 DRAIN_TIMEOUT_MS = 1000
-PICK_UP_TIME = NS_PER_S // 2  # from when a front is drained until work on it begins
+WORK_START_DELAY = NS_PER_S // 2  # ns from the end of a drain until the maintenance of the front begins
 
 
 class SimulatedCache:
-    """A cache as fronts see it; when the work on it ends it is listed with a later start."""
+    """State of a cache as the fronts observe it; its start time changes when its maintenance ends."""
 
     def __init__(self) -> None:
         self.start_ms, self.is_up, self.ready_at = FIRST_START_MS, True, 0
 
 
 class SimulatedFront:
-    """One start of a front, with its membership and its part in maintenance."""
+    """One start of a front, with its group membership, maintenance coordinator and drain."""
 
     def __init__(self, simulation: MaintenanceSimulation, number: int) -> None:
         now = simulation.now
@@ -52,27 +52,28 @@
 
 
 class MaintenanceSimulation:
-    """Fronts and caches; what is out of service is worked on, and restarts.
+    """Simulates fronts and caches; machines out of service undergo maintenance and restart.
 
     Args:
         count: Number of fronts.
         cache_count: Number of caches.
-        seed: Seed of everything that is drawn.
-        work_duration: Time for the work on one machine, ns.
-        warm_up_ms: Time until a restarted machine is warm.
+        seed: Seed of all random draws.
+        work_duration: Duration of the maintenance of one machine in ns.
+        warm_up_ms: Time in ms until a restarted machine is warm.
 
     Attributes:
-        now: The simulated time, ns.
-        network: Between the fronts.
-        fronts, caches: Those that there are, by number or name.
-        stopped: Fronts that do nothing for now.
-        down_until: Fronts that are down, and when they restart.
-        worst_out: Most machines that were out of service at once.
-        taken_out: When work began on which machine.
-        never_return: Machines that do not come back from the work on them.
-        open_requests: Requests in flight at each front.
-        load: By kind, the load that the fronts observe.
-        maintenance_bytes: Bytes of the datagrams about maintenance.
+        now: Simulated time in ns.
+        network: Simulated network between the fronts.
+        fronts: Running fronts, by number.
+        caches: All caches, by name.
+        stopped: Numbers of fronts whose processes are suspended.
+        down_until: Restart times of fronts that are down, by number.
+        worst_out: Highest number of machines out of service at once.
+        taken_out: Times at which maintenance began, each with the name of the machine.
+        never_return: Names of machines that do not restart after their maintenance.
+        open_requests: Number of requests in flight at each front.
+        load: Load that the fronts observe, by kind.
+        maintenance_bytes: Bytes of maintenance datagrams sent so far.
     """
 
     def __init__(
@@ -101,7 +102,7 @@
             self.start(number)
 
     def unix_ms(self) -> int:
-        """Return the simulated Unix time."""
+        """Return the simulated Unix time in ms."""
         return FIRST_START_MS + 1000 + (self.now - START) // NS_PER_MS
 
     def start(self, number: int) -> None:
@@ -110,7 +111,7 @@
         self.down_until.pop(number, None)
 
     def kill(self, number: int, returns_at: int = NEVER) -> None:
-        """Kill a front, which restarts at that time."""
+        """Kill a front, which restarts at `returns_at`."""
         self.fronts.pop(number, None)
         self.down_until[number] = returns_at
 
@@ -124,7 +125,7 @@
         deadline_ms: int = 1000,
         withdrawn: bool = False,
     ) -> MaintenancePlan:
-        """Give a front a plan for these machines; return what it has in force then."""
+        """Submit a plan for these machines to a front; return the plan that is in force there afterwards."""
         file = WorkOrder(asked_ms=self.unix_ms(), floor=floor, deadline_ms=deadline_ms, withdrawn=withdrawn)
         for name in names:
             machine: dict[str, Any] = {"place": name, "zone": "z"}
@@ -139,7 +140,7 @@
         return coordinator.plan
 
     def deliver(self, receiver: int, sender: int, data: bytes, now: int) -> None:
-        """Hand a datagram to a front."""
+        """Deliver a datagram to a front; a front that is down or suspended does not receive it."""
         front = self.fronts.get(receiver)
         if front is None or receiver in self.stopped:
             return
@@ -151,7 +152,7 @@
     def send(
         self, sender: int, messages: Iterable[Outgoing[Gossip]] | Iterable[Outgoing[MaintenanceMessage]]
     ) -> None:
-        """Send messages of a front."""
+        """Encode and send messages of a front."""
         for outgoing in messages:
             if isinstance(outgoing.message, Ping | Ack | PingRequest):
                 data = fleet_datagrams.encode(outgoing.message)
@@ -161,7 +162,7 @@
             self.network.send(sender, outgoing.to, data, self.now)
 
     def observe(self) -> Observation:
-        """Return what a front observes of the caches."""
+        """Return a front's observation of the caches and of the load."""
         return Observation(
             {name: self._observe_cache(cache) for name, cache in self.caches.items()}, self.load
         )
@@ -171,13 +172,13 @@
         observation = NodeObservation(cache.start_ms, cache.is_up, is_warm)
         return ObservedUpstream(Group(Kind.CACHE, "z"), observation)
 
-    def run(self, seconds: float, each_step: Callable[[], object] = lambda: None) -> None:
-        """Pass simulated time; `each_step` is called at each of its steps."""
+    def run(self, seconds: float, on_step: Callable[[], object] = lambda: None) -> None:
+        """Advance simulated time; `on_step` is called in each step."""
         end = self.now + int(seconds * NS_PER_S)
         while self.now < end:
             self.now += STEP
             self.network.deliver_due(self.now)
-            each_step()
+            on_step()
             for number, returns_at in list(self.down_until.items()):
                 if self.now >= returns_at:
                     self.start(number)
@@ -197,34 +198,34 @@
         front.drain.tick(is_granted, timeout, 0, self.open_requests, self.now)
         if front.drain.stage is not DrainStage.DRAINED:
             front.drained_at = self.now
-        elif self.now - front.drained_at > PICK_UP_TIME:
+        elif self.now - front.drained_at > WORK_START_DELAY:
             name = front_name(number)
             self.taken_out.append((self.now, name))
             self.kill(number, NEVER if name in self.never_return else self.now + self.work_duration)
 
     def _work_on_caches(self) -> None:
-        """Work on caches that all fronts have taken out of service, and restart those that are done."""
+        """Begin maintenance of caches that all fronts have taken out; restart caches when it is over."""
         for name, cache in self.caches.items():
-            if cache.is_up and self.fronts and self._is_left_alone(name, cache):
+            if cache.is_up and self.fronts and self._is_out_at_all_fronts(name, cache):
                 cache.is_up, cache.ready_at = False, self.now + self.work_duration
                 self.taken_out.append((self.now, name))
             elif not cache.is_up and self.now >= cache.ready_at and name not in self.never_return:
                 cache.is_up, cache.start_ms = True, self.unix_ms()
 
-    def _is_left_alone(self, name: str, cache: SimulatedCache) -> bool:
+    def _is_out_at_all_fronts(self, name: str, cache: SimulatedCache) -> bool:
         return all(
             front.coordinator.granted_starts_ms.get(machine_key(name), -1) >= cache.start_ms
             for front in self.fronts.values()
         )
 
     def out_of_service(self) -> list[str]:
-        """Return the machines that do not serve now: by their own belief, worked on, or down."""
+        """Return the machines that do not serve now: draining, drained, under maintenance or down."""
         fronts = [number for number, one in self.fronts.items() if one.drain.stage is not DrainStage.SERVING]
         caches = [name for name, cache in self.caches.items() if not cache.is_up]
         return [*map(front_name, (*fronts, *self.down_until)), *caches]
 
     def done_count(self, plan: MaintenancePlan) -> int:
-        """Return how many machines of a plan have restarted since it was created."""
+        """Return the number of machines of a plan that have restarted since it was created."""
         starts = {front_name(number): front.start_ms for number, front in self.fronts.items()}
         starts |= {name: cache.start_ms for name, cache in self.caches.items()}
         return sum(starts.get(machine.name, 0) > plan.created_ms for machine in plan.machines)
--- a/benchmarks/maintenance/workers.py
+++ b/benchmarks/maintenance/workers.py
@@ -1,4 +1,4 @@
-"""Those who work on the machines that the fronts take out of service, for processes on loopback."""
+"""Simulated maintenance of real fronts and stand-in caches that the fronts have taken out of service."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from marbleglade.testing.front_fleet import FrontFleet
 
 POLL_SECONDS, EXIT_POLL_SECONDS = 0.05, 0.02
-SETTLE_SECONDS = 0.5  # until requests to a cache that was taken out have arrived
+SETTLE_SECONDS = 0.5  # time for requests in flight to arrive at a cache after it was taken out of service
 STAGES = ("serving", "draining", "drained")
 
 
@@ -26,21 +26,21 @@
     after: str = "",
     floor: float = 0.3,
 ) -> str:
-    """Return the text of a maintenance plan that is created now.
+    """Return the text of a maintenance plan with the current time as creation time.
 
     Args:
-        fronts: Numbers of the fronts to be worked on.
-        caches: Numbers of the caches.
+        fronts: Numbers of the fronts in the plan.
+        caches: Numbers of the caches in the plan.
         limits: Concurrency limits in the text format.
-        deadline_ms: Time in which a front must be drained.
-        takes_ms: Time for the work on one machine.
-        withdrawn: The plan is withdrawn.
-        after: The machine after which caches are worked on; empty: none.
-        floor: Share of the machines that stays in service.
+        deadline_ms: Drain deadline of a front in ms.
+        takes_ms: Expected time in ms for the maintenance of one machine.
+        withdrawn: Whether the plan is withdrawn.
+        after: Name of the machine that must be done before the caches; empty for none.
+        floor: Minimum share of the machines that must stay in service.
     """
     jobs = [f"job {{ front: {number} takes_ms: {takes_ms} }}" for number in fronts]
-    following = f'after: "{after}" ' if after else ""
-    jobs += [f'job {{ place: "box{number}" zone: "z" takes_ms: {takes_ms} {following}}}' for number in caches]
+    order = f'after: "{after}" ' if after else ""
+    jobs += [f'job {{ place: "box{number}" zone: "z" takes_ms: {takes_ms} {order}}}' for number in caches]
     return (
         f"asked_ms: {int(time.time() * 1000)} floor: {floor} deadline_ms: {deadline_ms} "
         f"withdrawn: {str(withdrawn).lower()} {' '.join(jobs)} "
@@ -49,31 +49,31 @@
 
 
 class MaintenanceWorkers:
-    """Work on whatever is out of service: a front is restarted, a cache is restarted and announced.
+    """Restart fronts that are drained, and caches that all fronts have taken out; announce restarted caches.
 
     Args:
-        fleet: The fronts and caches.
-        went_down: Called with the number of a front before it is stopped.
-        came_back: Called with its number once it is ready again.
-        work_seconds: Time for the work on one machine.
+        fleet: Fleet with the fronts and caches.
+        before_stop: Called with the number of a front before it is stopped.
+        after_ready: Called with the number of a front once it is ready again.
+        work_seconds: Duration of the maintenance of one machine.
 
     Attributes:
-        finished: Machines in the order in which work on them began: numbers of fronts, ids of caches.
-        worst_out: Most fronts that were out at once.
-        requests_while_out: Requests to caches that were worked on.
-        returned_caches: Ids of caches that are back.
-        busy: Numbers of fronts that are worked on.
+        finished: Front numbers and cache ids in the order in which maintenance of them began.
+        worst_out: Highest number of fronts that were out of service at once.
+        requests_while_out: Number of requests to caches under maintenance.
+        returned_caches: Ids of caches that have been restarted.
+        busy: Numbers of fronts under maintenance.
     """
 
     def __init__(
         self,
         fleet: FrontFleet,
-        went_down: Callable[[int], None],
-        came_back: Callable[[int], None],
+        before_stop: Callable[[int], None],
+        after_ready: Callable[[int], None],
         work_seconds: float = 0.3,
     ) -> None:
         self.fleet, self.work_seconds = fleet, work_seconds
-        self._went_down, self._came_back = went_down, came_back
+        self._before_stop, self._after_ready = before_stop, after_ready
         self.finished: list[int | str] = []
         self.worst_out, self.requests_while_out = 0, 0
         self.returned_caches: set[str] = set()
@@ -82,17 +82,17 @@
         self.loop = gevent.spawn(self.run)
 
     def log_lines(self, front: int, event: bytes) -> list[bytes]:
-        """Return the lines of an event in a front's present start."""
+        """Return the log lines with this event since the latest start of a front."""
         lines = self.fleet.log_path(front).read_bytes().splitlines()
         return [line for line in lines if b'"event":"%b"' % event in line]
 
     def stage(self, front: int) -> str:
-        """Return "serving", "draining" or "drained", by the front's latest line."""
+        """Return "serving", "draining" or "drained", according to the latest drain event of a front."""
         latest = b"".join(self.log_lines(front, b"drain")[-1:])
         return next((stage for stage in STAGES if b'"stage":"%b"' % stage.encode() in latest), "serving")
 
     def is_left_alone(self, cache: StandInUpstream) -> bool:
-        """Return whether every front that runs has taken a cache out of service."""
+        """Return whether all running fronts have taken a cache out of service."""
         name = b'"%b"' % cache.id.encode()
         return all(
             any(name in line for line in self.log_lines(front, b"out_of_service"))
@@ -100,7 +100,7 @@
         )
 
     def run(self) -> None:
-        """Watch the fronts' logs, and work on what is out."""
+        """Poll the fronts' logs and start maintenance of machines that are out of service."""
         while True:
             gevent.sleep(POLL_SECONDS)
             out = [front for front in self.fleet.processes if self.stage(front) != "serving"]
@@ -116,7 +116,7 @@
 
     def _work_on_front(self, front: int) -> None:
         self.finished.append(front)
-        self._went_down(front)
+        self._before_stop(front)
         self.fleet.signal(front, signal.SIGTERM)
         process = self.fleet.processes.pop(front)
         while process.poll() is None:
@@ -125,7 +125,7 @@
         gevent.sleep(self.work_seconds)
         self.fleet.start(front)
         self.fleet.wait_until_ready()
-        self._came_back(front)
+        self._after_ready(front)
         self.busy.discard(front)
 
     def _work_on_cache(self, cache: StandInUpstream) -> None:
