--- a/tests/benchmarks/test_fault_benchmark.py
+++ b/tests/benchmarks/test_fault_benchmark.py
@@ -88,8 +88,8 @@
     return Records(requests={one.trace: one}, **changes)
 
 
-def arrival(one: Request, after: float, within: float = 0.5, cache: str = "box0") -> Arrival:
-    return Arrival(one.trace, cache, one.sent_at + after, within)
+def arrival(one: Request, after: float, stated_wait_s: float = 0.5, cache: str = "box0") -> Arrival:
+    return Arrival(one.trace, cache, one.sent_at + after, stated_wait_s)
 
 
 def records_with_one_fault() -> dict[str, tuple[str, Records]]:
@@ -111,7 +111,7 @@
         "after the kill": ("lost", records(good, kill_due_at={0: good.answered_at - 0.01})),
         "unknown attempt": ("lost", records(good, arrivals=[Arrival("t2", "box0", good.sent_at, 0.5)])),
         "begun late": ("begun_late", records(left, arrivals=[arrival(left, 0.25)])),
-        "deadline": ("deadline", records(good, arrivals=[arrival(good, 0.0, within=1.2)])),
+        "deadline": ("deadline", records(good, arrivals=[arrival(good, 0.0, stated_wait_s=1.2)])),
         "drain": ("drain", records(good, arrivals=[arrival(good, 0.0)], published=[drained])),
         "old copy": ("purge", records(good, published=[purged])),
         "twice": ("duplicate", Records(effects={"t1": 2})),
