--- a/tests/maintenance/conftest.py
+++ b/tests/maintenance/conftest.py
@@ -35,4 +35,6 @@
         workers.loop.kill()
         # A front that is just starting can't be ended cleanly yet.
         wait_until(lambda workers=workers: not workers.busy, 15, interval=0.05)
-        assert workers.requests_while_out == 0, "requests were sent to a cache during its maintenance"
+        assert workers.requests_during_maintenance == 0, (
+            "requests were sent to a cache during its maintenance"
+        )
--- a/tests/maintenance/test_maintenance_processes.py
+++ b/tests/maintenance/test_maintenance_processes.py
@@ -123,7 +123,7 @@
     fleet.datagram_proxy.loss_rate = 0.3
     fleet.submit_maintenance_plan(2, plan_text([], [0]))
     cache = fleet.caches[0]
-    wait_until(lambda: workers.is_left_alone(cache), 15)
+    wait_until(lambda: workers.is_out_at_all_fronts(cache), 15)
     gevent.sleep(0.5)
     since = time.monotonic()
     for number in (1, 3, 4):
--- a/tests/maintenance/test_plan_in_force.py
+++ b/tests/maintenance/test_plan_in_force.py
@@ -26,7 +26,7 @@
     simulation = MaintenanceSimulation(5, 4, seed)
     simulation.network.set_faults(loss_rate=0.3, duplication_rate=0.0, delay_ns=(0, 25 * NS_PER_MS))
     simulation.run(SETTLE_SECONDS)
-    simulation.never_return |= set(simulation.caches)
+    simulation.never_restarts |= set(simulation.caches)
     simulation.submit_plan(["box0"], LIMITS, front=2, floor=0.3, takes_ms=150_000)
     simulation.run(IN_FORCE_SECONDS)
     key = machine_key("box0")
--- a/tests/maintenance/test_plans_under_faults.py
+++ b/tests/maintenance/test_plans_under_faults.py
@@ -104,7 +104,7 @@
 
 def test_a_machine_that_never_returns_halts_only_its_kind():
     simulation = MaintenanceSimulation(5, 4, 5)
-    simulation.never_return = {"box2"}
+    simulation.never_restarts = {"box2"}
     simulation.run(SETTLE_SECONDS)
     limits = ConcurrencyLimit(1, Kind.FRONT), ConcurrencyLimit(1, Kind.CACHE)
     plan = submit(simulation, *all_fronts(simulation), *simulation.caches, limits=limits)
@@ -116,7 +116,7 @@
     assert Kind.FRONT not in leader.decision.halted
     assert all(front.start_ms > plan.created_ms for front in simulation.fronts.values())
     assert len(simulation.fronts) == 5
-    simulation.never_return = set()  # the machine returns and the plan goes on
+    simulation.never_restarts = set()  # the machine returns and the plan goes on
     simulation.run(60)
     assert simulation.done_count(plan) == 9
 
@@ -170,7 +170,7 @@
 
 def test_an_upstream_that_is_not_listed_any_more_blocks_no_other():
     simulation = MaintenanceSimulation(5, 4, 8)
-    simulation.never_return = {"box1"}
+    simulation.never_restarts = {"box1"}
     simulation.run(SETTLE_SECONDS)
     plan = submit(simulation, *simulation.caches, limits=(ConcurrencyLimit(1, Kind.CACHE),))
     simulation.run(60)
--- a/tests/maintenance/test_restarted_front_informed.py
+++ b/tests/maintenance/test_restarted_front_informed.py
@@ -35,7 +35,7 @@
     fleet, load, workers = start_maintenance()
     workers.loop.kill()  # without workers the cache stays out of service
     fleet.submit_maintenance_plan(2, plan_text([], [0]))
-    wait_until(lambda: workers.is_left_alone(fleet.caches[0]), 15, interval=0.05)
+    wait_until(lambda: workers.is_out_at_all_fronts(fleet.caches[0]), 15, interval=0.05)
     gevent.sleep(0.5)
     return fleet, load, workers
 
