--- a/marbleglade/disk/admission.py
+++ b/marbleglade/disk/admission.py
@@ -38,7 +38,7 @@
         self._counters = counters
 
     def try_admit(self, part_id: PartId, size: int, is_replacement: bool, now_ns: int) -> bool:
-        """Admit a new part if its value exceeds that of the parts to evict and the write budget suffices.
+        """Admit a new part if the eviction policy and the write budget allow it, and evict parts for it.
 
         Args:
             part_id: Id of the new part.
@@ -47,7 +47,7 @@
             now_ns: Current monotonic time in nanoseconds.
 
         Returns:
-            True if the part is admitted. The parts that had to make space for it are evicted by then.
+            True if the part is admitted. The parts that had to make space for it have been evicted then.
         """
         victims: list[int] | None = []
         if not is_replacement:
--- a/marbleglade/disk/counters.py
+++ b/marbleglade/disk/counters.py
@@ -15,7 +15,7 @@
         purged: Parts dropped on reading because they were purged.
         recovered: Parts restored, when the cache was opened, from records appended after the last commit.
         evicted: Parts evicted to make space for others.
-        not_admitted: New parts that were not written because they were not admitted.
+        not_admitted: New parts rejected by the eviction policy or the write budget.
     """
 
     torn_tails: int = 0
--- a/marbleglade/disk/disk_cache.py
+++ b/marbleglade/disk/disk_cache.py
@@ -120,7 +120,7 @@
         self.log.remove_empty_segments()
 
     def load(self, limit: int = ENTRIES_PER_LOAD) -> bool:
-        """Load up to `limit` committed entries into the eviction policy. Return whether there are more.
+        """Load up to `limit` committed entries into the eviction policy. Return whether there may be more.
 
         The cache can be used before all entries are loaded, as lookups read the index.
         """
@@ -153,11 +153,13 @@
     def put(self, object_id: int, part: int, content: CachedPart, now_ns: int) -> bool:
         """Write a part if it is admitted. Return whether it was written; it may not be synced yet.
 
+        A part is not written if it is too large or purged, or if the cached version is not older.
+
         Args:
             object_id: Id of the object.
             part: Number of the part in its object.
             content: The part. If its tag differs from that of the cached part, all parts of older versions of
-                the object are removed.
+                the object are removed, even if the part is not admitted.
             now_ns: Current monotonic time in nanoseconds, for the write budget.
         """
         part_id = PartId(object_id, part)
--- a/marbleglade/disk/eviction.py
+++ b/marbleglade/disk/eviction.py
@@ -20,7 +20,7 @@
 MAX_PACKED_PART = 255
 OFFSET_BITS = 32  # a packed location has the offset in these lower bits, the segment in the bits above
 
-EVICTION_SAMPLE = 48  # entries sampled at random to find one victim: the least valuable of them
+EVICTION_SAMPLE = 48  # entries read from a random slot on; the least valuable of them is evicted
 FIRST_PART_BONUS = 0.5  # relative bonus of the first part's value; it falls linearly to 0 for later parts
 BONUS_PARTS = 20  # number of parts of an object that have a bonus
 # An unused part's value falls to a quarter after this many uses of any parts, times the number of entries.
--- a/marbleglade/disk/recovery.py
+++ b/marbleglade/disk/recovery.py
@@ -28,7 +28,10 @@
         self._purge_marks = purge_marks
 
     def restore(self, segment: int, offset: int, header: RecordHeader) -> None:
-        """Restore the entry of a valid record, unless it is purged or older than the existing entry."""
+        """Restore the entry of a valid record, unless it is purged or older than the existing entry.
+
+        If the existing entry has another tag, all parts of older versions of the object are removed.
+        """
         if self._purge_marks.is_purged(header.object_id, header.group, header.issued_ms):
             return
         part_id = PartId(header.object_id, header.part)
--- a/marbleglade/disk/segment_log.py
+++ b/marbleglade/disk/segment_log.py
@@ -42,6 +42,8 @@
     def replay(self, segment: int, offset: int, on_record: Callable[[int, int, RecordHeader], None]) -> int:
         """Read the records appended after a checkpoint, up to the first invalid record of each segment.
 
+        All attributes are set to the state of the segments read.
+
         Args:
             segment: Number of the segment that was current at the checkpoint.
             offset: Length of that segment at the checkpoint, in bytes.
--- a/marbleglade/disk/steps.py
+++ b/marbleglade/disk/steps.py
@@ -6,7 +6,7 @@
 
 
 class Step(enum.StrEnum):
-    """A point directly before or after a write."""
+    """A point directly before or after a write, a compaction, a purge or the recovery."""
 
     APPENDING = "appending"
     APPENDED = "appended"
--- a/marbleglade/gateway/concurrency_limit.py
+++ b/marbleglade/gateway/concurrency_limit.py
@@ -1,8 +1,8 @@
 """Adaptive limit on the number of requests that this gateway has in flight to one region.
 
 Requests are not queued: a request above the limit is rejected immediately, and the policy decides what
-follows. When a region becomes reachable again, the limit starts low and grows with each response, so that
-the accumulated requests do not overload the region.
+follows. When a region becomes reachable again, the limit starts low and grows with each served request, so
+that the accumulated requests do not overload the region.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class ConcurrencyLimit:
-    """Raises its limit with each response (slow start, then linearly), lowers it on rejections and timeouts.
+    """A limit that served requests raise (slow start, then linearly) and rejections and timeouts lower.
 
     Args:
         max_limit: The highest limit.
@@ -47,8 +47,8 @@
     def release_served(self) -> None:
         """Release a request that was served, and raise the limit.
 
-        Below half of `max_limit` each response raises the limit by one, so the limit doubles in the time that
-        one response takes.
+        Below half of `max_limit` each served request raises the limit by one, so the limit doubles in the
+        time that one request takes.
         """
         self.in_flight -= 1
         slow_start = self.limit < self.max_limit / 2
--- a/marbleglade/gateway/link/connection.py
+++ b/marbleglade/gateway/link/connection.py
@@ -17,9 +17,9 @@
 from .frames import InvalidLinkFrameError, LinkFrameDecoder, encode, encode_chunk
 from .messages import FRAME_FIELDS, CreditGrant, Heartbeat, Hello, LinkMessage
 
-MAX_SEND_BUFFER_BYTES = 4 * MAX_CHUNK_BYTES  # unsent in the kernel's buffer, ahead of any control frame
+MAX_SEND_BUFFER_BYTES = 4 * MAX_CHUNK_BYTES  # unsent bytes in the kernel that a control frame may wait for
 CONNECTION_WINDOW_BYTES = 64 * MAX_CHUNK_BYTES  # the most bytes of bodies in flight on one connection
-INITIAL_CREDIT_BYTES = MAX_CHUNK_BYTES  # of one body, which may be sent before credit is granted
+INITIAL_CREDIT_BYTES = MAX_CHUNK_BYTES  # bytes of each body that may be sent before credit is granted
 DELAY_TARGET_DIVISOR = 4  # the accepted queueing delay is this fraction (1/n) of the silence timeout
 # Received bytes after which credit is returned to the sender. From the first threshold on it is sent at once
 # if the sender may be waiting for it, else with the next frame; from the second on it is always sent at once.
@@ -34,8 +34,8 @@
 class LinkConnection:
     """One connection between two gateways; used by both the side that opened it and the one that accepted it.
 
-    The connection is closed when nothing is received for the silence timeout, or nothing can be written for
-    twice that time. Time for which this process itself was delayed does not count as silence.
+    The connection is closed when nothing is received for the silence timeout, or the send queue has not been
+    written completely for twice that time. Time for which this process was delayed does not count as silence.
 
     Args:
         sock: The connected socket.
@@ -96,7 +96,7 @@
     # Writing
 
     def send(self, message: LinkMessage) -> None:
-        """Queue a message and schedule a write; without effect on a closed connection."""
+        """Queue a message and schedule a write; do nothing on a closed connection."""
         self.send_later(message)
         self._schedule_flush()
 
@@ -254,7 +254,7 @@
             self.close("stuck")
 
     def close(self, reason: str) -> None:
-        """Close the connection, once.
+        """Close the connection; later calls do nothing.
 
         Args:
             reason: The reason for the log; the part before its first colon is the name of the counter.
--- a/marbleglade/gateway/link/links.py
+++ b/marbleglade/gateway/link/links.py
@@ -101,8 +101,8 @@
         purge_index: All purges of that incarnation up to this number were received.
         connection_number: The number of the latest connection.
         connection: The present connection; None while the link is disconnected.
-        purges_complete: The message on this connection that all earlier purges were sent; None until it was
-            received.
+        purges_complete: The message of this connection which states that all earlier purges were sent; None
+            until it was received.
         up: True while requests may be forwarded.
         draining_start_ms: The latest incarnation of the gateway that has announced its drain; 0: none.
         in_flight: Forwarded requests on the present connection, by number.
@@ -190,7 +190,7 @@
     Attributes:
         upstreams: The region's gateways as upstreams of the policy.
         purge_history: The purges known to this gateway.
-        partial_bodies: The first bytes of response bodies that were cut off by a disconnection.
+        partial_bodies: The first bytes of response bodies that were not received completely.
         concurrency_limit: Bounds the requests in flight at the region.
     """
 
@@ -262,7 +262,7 @@
         self.last_number = 0
 
     def complete(self, forwarded: ForwardedRequest, result: UpstreamResult) -> None:
-        """Report the result of a forwarded request; without effect if it has one already."""
+        """Report the result of a forwarded request, unless it already has one."""
         if forwarded.order.result.ready():
             return  # `Requester._finish` releases the reserved bytes
         if result.response:
--- a/marbleglade/gateway/link/response_receiver.py
+++ b/marbleglade/gateway/link/response_receiver.py
@@ -58,7 +58,11 @@
             self._start_body(link, forwarded, head)
 
     def _check_unexpected(self, number: int) -> None:
-        """Check that a message about a request that is not in flight is late, and not about an unsent one."""
+        """Count a message about a request that is not in flight as late.
+
+        Raises:
+            InvalidLinkFrameError: The request was never sent.
+        """
         if number > self._region_links.last_number:
             raise InvalidLinkFrameError(f"response to request {number}, which was never sent")
         self._counters.add("forward.late_response")
--- a/marbleglade/gateway/partial_bodies.py
+++ b/marbleglade/gateway/partial_bodies.py
@@ -1,4 +1,4 @@
-"""Stores the first bytes of bodies after a disconnection, so that a retry requests only the rest."""
+"""Stores the first bytes of bodies that were not received completely; a retry requests only the rest."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         self.bodies: OrderedDict[Hashable, PartialBody] = OrderedDict()
 
     def put(self, key: Hashable, body: PartialBody) -> None:
-        """Store a body unless it is empty, too large, or no longer than one stored for the same version."""
+        """Store a body, unless it is empty, too large, or not longer than the stored body of its version."""
         if not body.data or len(body.data) > self.max_bytes:
             return
         stored = self.bodies.get(key)
--- a/marbleglade/gateway/purge_log.py
+++ b/marbleglade/gateway/purge_log.py
@@ -75,7 +75,10 @@
         return (record.purge for record in self._records if record.purge.index > index)
 
     def complete_since_ms(self, index: int) -> int:
-        """Return since when a receiver with all purges up to `index` misses none, Unix ms; 0 for always."""
+        """Return the time from which on a receiver misses no purge, Unix milliseconds; 0 if it misses none.
+
+        The receiver has the purges of this incarnation up to `index` and those that `after(index)` returns.
+        """
         first = self._records[0].purge.index if self._records else self.index + 1
         return 0 if index > 0 and first <= index + 1 else self.recorded_since_ms
 
@@ -89,7 +92,8 @@
     Attributes:
         by_object: The latest purge of each object, Unix milliseconds by the region's clock.
         by_group: The latest purge of each group, Unix milliseconds by the region's clock.
-        all_purged_up_to_ms: Every object issued up to this time counts as purged, Unix milliseconds.
+        all_purged_up_to_ms: Every object issued up to this time by the region's clock counts as purged,
+            Unix milliseconds.
         complete_at_ms: The time up to which no purge is missing, Unix milliseconds by the region's clock.
         confirmed_at: The time of the last confirmation of completeness, ns of this gateway's clock; 0 if
             there was none.
@@ -104,7 +108,10 @@
         self.confirmed_at = 0
 
     def add(self, purge: RegionPurge) -> None:
-        """Record a purge; above `max_records` the oldest is replaced by one of all objects at its time."""
+        """Record a purge.
+
+        Above `max_records` the oldest is removed, and every object issued up to its time counts as purged.
+        """
         if purge.object_id:
             times, key = self.by_object, purge.object_id
         else:
@@ -138,7 +145,10 @@
         self.confirmed_at = max(self.confirmed_at, now)
 
     def latest_ms(self, object_id: int, group: int) -> int:
-        """Return the object's latest purge, Unix ms; to an unknown group the purges of all groups apply."""
+        """Return the time of the latest purge that applies to an object, Unix milliseconds; 0 if none does.
+
+        If the object's group is unknown, the purges of all groups apply.
+        """
         if group == UNKNOWN_GROUP:
             group_purged_ms = max(self.by_group.values(), default=0)
         else:
--- a/marbleglade/gateway/region_events.py
+++ b/marbleglade/gateway/region_events.py
@@ -36,7 +36,7 @@
             handler.events.apply(purge)
 
     def purges_missed(self, before_ms: int) -> None:
-        """Drop the responses cached for remote regions that were issued by `before_ms`, Unix milliseconds."""
+        """Drop the cached responses of remote regions issued up to `before_ms`, Unix milliseconds."""
         issued_before = clock.from_unix_ms(before_ms)
         for region, handler in self._handlers.items():
             if region != self._local_region:
--- a/marbleglade/gateway/region_wiring.py
+++ b/marbleglade/gateway/region_wiring.py
@@ -148,7 +148,10 @@
         return Requester(links)
 
     def _make_concurrency_limit(self) -> ConcurrencyLimit:
-        """Return a limit of at most this gateway's share of the capacity of a remote gateway's journal."""
+        """Return a limit whose maximum is this gateway's share of a remote gateway's journal capacity.
+
+        The maximum is at least `INITIAL_LIMIT_DIVISOR`, so that the initial limit is at least 1.
+        """
         part = self._link_configuration.book_carries // len(self._deployment.region.gateways)
         max_limit = max(INITIAL_LIMIT_DIVISOR, part)
         shortest_objective = min(profile.agreed_ms for profile in self._deployment.configuration.profiles)
--- a/marbleglade/gateway/request_journal.py
+++ b/marbleglade/gateway/request_journal.py
@@ -1,7 +1,7 @@
 """Records the status of forwarded requests, which the requesting gateways query after a disconnection.
 
 A request is identified by the requesting gateway, that gateway's incarnation, and a number that increases
-with each request. A number is accepted only if it was neither received before nor reported as never received.
+with each request. A number is accepted only if it exceeds all numbers received or reported as never received.
 Acknowledged and cancelled requests are removed, so only running and unacknowledged requests are stored.
 """
 
@@ -22,7 +22,7 @@
 class RequestStatus(Enum):
     """The status of a forwarded request."""
 
-    NOT_RECEIVED = 1  # the request was not received, and will be rejected if it arrives later
+    NOT_RECEIVED = 1  # the request has no entry and has not expired; it is rejected if it arrives later
     RUNNING = 2
     COMPLETED = 3  # the response is stored
     LOST = 4  # the request ran or may have run, and its response is not stored
@@ -102,8 +102,8 @@
 
     Args:
         max_entries: The number of entries at which the journal is full; callers open no more then.
-        max_bytes: The maximum size of all stored responses, bytes; the oldest are evicted first.
-        max_sessions: The maximum number of sessions; the oldest is closed first.
+        max_bytes: The maximum size of all stored responses, bytes; see `store_response` for evictions.
+        max_sessions: The maximum number of sessions; the least recently connected is closed.
 
     Attributes:
         sessions: The session of each gateway, by name, in the order of their latest connections.
@@ -234,7 +234,8 @@
     ) -> None:
         """Store a response until it is acknowledged; do nothing if the entry was removed.
 
-        Above `max_bytes` the oldest responses are evicted, and the status of their requests becomes LOST.
+        Above `max_bytes`, responses are evicted, first those of the least recently connected gateway. The
+        status of their requests becomes LOST.
 
         Args:
             session: The session of the entry.
--- a/marbleglade/gateway/requester.py
+++ b/marbleglade/gateway/requester.py
@@ -116,7 +116,10 @@
         return forwarded
 
     def _max_age_ms(self, link: Link, client_request: ClientRequest, order: AttemptOrder) -> int:
-        """Return the greatest age, ms, that policy and client allow and that excludes purged objects."""
+        """Return the greatest age of a response, ms, that the policy, the client and the last purge allow.
+
+        0 is `DEFAULT_MAX_AGE`. A response issued before the object's last purge exceeds the age.
+        """
         allowed_ms = max_age_ms(client_request, order)
         object_id = int(client_request.object_id, 16)
         purged_ms = self.region_links.purge_receiver.latest_ms(object_id, client_request.group)
--- a/marbleglade/gateway/routes.py
+++ b/marbleglade/gateway/routes.py
@@ -117,7 +117,7 @@
         self.locations: OrderedDict[int, ObjectLocation] = OrderedDict()
 
     def regions_for(self, object_id: int, group: int, via_regions: tuple[str, ...], now: int) -> list[str]:
-        """Return the regions to try, one after another.
+        """Return the regions to try, one after another. If a rule matches, only its region is tried.
 
         Args:
             object_id: The id of the object.
--- a/marbleglade/gateway/wiring.py
+++ b/marbleglade/gateway/wiring.py
@@ -36,7 +36,8 @@
 MAX_PURGE_RECORDS = 1 << 14
 MAX_LOCATED_OBJECTS = 1 << 16  # objects whose last region is stored
 LOCATION_RETENTION_FACTOR = 16  # a location is used for this many times the longest client timeout
-PURGE_RETENTION_FACTOR = 4  # times the purge deadline, within which caches drop purged objects
+# Purges are stored for this many times the purge deadline, within which caches drop purged objects.
+PURGE_RETENTION_FACTOR = 4
 MIN_PEER_CONNECTIONS = 8
 
 # Divisors of the configured limits, the same as a front's. Of the memory, a sixth is for response bodies and
