--- a/marbleglade/control/configuration/proposer.py
+++ b/marbleglade/control/configuration/proposer.py
@@ -25,8 +25,10 @@
 ROUND_PAUSE_S = 0.1  # pause after a round over all nodes in which none accepted the proposal
 CONNECT_TIMEOUT_S = 1.0
 MIN_CONNECT_TIMEOUT_S = 0.01
-MIN_RETRY_TIME_S = 0.25  # time that must remain for a retry at a node; more if answers take longer
-ANSWER_TIMEOUT_S = 2.0  # limit per node; then the proposal is sent to the next node with the same id
+MIN_RETRY_TIME_S = 0.25  # a node is retried only if more than this remains, and twice the slowest answer
+ANSWER_TIMEOUT_S = (
+    2.0  # time limit of one node's answer; then the next node gets the proposal with the same id
+)
 READ_BYTES = 1 << 16
 PROPOSAL_ID_BYTES = 8
 
@@ -45,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotAccepted:
-    """No node accepted the proposal, and none can do so later. `reasons` maps node names to reasons."""
+    """No node accepted the proposal, and none can do so later. `reasons` has the last reason by node name."""
 
     reasons: dict[str, str]
 
@@ -61,7 +63,7 @@
 
 
 class Proposer:
-    """Sends one proposal to the nodes in turn until its outcome is known or the timeout has passed.
+    """Sends one proposal to the nodes in turn until its outcome is known or no time for an answer is left.
 
     Args:
         settings: The settings of the control plane.
@@ -70,7 +72,7 @@
 
     Attributes:
         unknown_reason: Why a node may have accepted the proposal without reporting it; "" if none can have.
-        reasons: The last reason of each node for not accepting the proposal, by node name.
+        reasons: The last rejection by each node, or the last error of the connection to it, by node name.
         longest_answer_s: The longest time that a node took to answer, in seconds.
     """
 
@@ -102,17 +104,18 @@
         return self.deadline - time.monotonic()
 
     def _has_time_for(self, node: NodeSettings) -> bool:
-        """Return whether the node's answer can be expected before the deadline.
+        """Return whether enough time is left to send the proposal to a node.
 
-        An attempt that the deadline cuts off would only make the outcome unknown, as the node may have
-        received the proposal.
+        A first attempt at a node needs any time at all, a retry the time in which to expect an answer. A
+        retry that the deadline ends would only make the outcome unknown, as the node may have received the
+        proposal.
         """
         is_retry = node.name in self.reasons
         needed_s = max(MIN_RETRY_TIME_S, 2 * self.longest_answer_s) if is_retry else 0.0
         return self._remaining_s() > needed_s
 
     def _propose_to(self, node: NodeSettings, redirected: bool = False) -> ProposalResult | None:
-        """Send the proposal to a node, then to the leader that it names; None if there is no final result."""
+        """Send the proposal to a node, and after a rejection to the leader named in it; None if undecided."""
         if not self._has_time_for(node):
             return None
         started_at = time.monotonic()
--- a/marbleglade/control/events/session.py
+++ b/marbleglade/control/events/session.py
@@ -1,7 +1,7 @@
 """The event stream to one watcher of a control node, without I/O: batches, pacing, acknowledgements.
 
-A session has a position in the shared event log and no queue of its own. A watcher that does not read
-therefore uses no more memory than the unwritten rest of one batch.
+A session has a position in the shared event log and no queue of events. A watcher that does not read
+therefore uses no more memory than the unwritten rest of one batch and the latest load view.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from .confirmation import FrontRecord
 from .event_log import EventLog, LogEntry, Snapshot, encode_line, purges_of_all_groups
 
-MAX_BATCH_BYTES = 1 << 16  # a batch ends with the line that reaches this size
+MAX_BATCH_BYTES = 1 << 16  # a batch of events ends with the line that reaches this size
 SNAPSHOT_PORTION_NS = SECOND_NS // 4  # one portion has the bytes that the rate limit allows in this time
 # Pause between two portions; a watcher replaces a node that sends no line for much longer than this.
 MAX_SNAPSHOT_PAUSE_NS = 3 * SECOND_NS // 4
@@ -23,7 +23,11 @@
 
 
 class ProtocolError(Exception):
-    """Raised if a watcher violates the protocol; `kind` names the violation in the counters."""
+    """Raised if a watcher violates the protocol, or follows before the node is ready.
+
+    Attributes:
+        kind: Suffix of the counter `control.closed.*`.
+    """
 
     def __init__(self, kind: str, detail: str) -> None:
         super().__init__(detail)
@@ -31,7 +35,7 @@
 
 
 class FellBehindError(Exception):
-    """Raised if the log no longer retains the events that the watcher needs next."""
+    """Raised if the log no longer retains the events that must be sent next."""
 
 
 class SnapshotCursor:
@@ -48,6 +52,7 @@
         self._purges: Sequence[LogEntry] = snapshot.purges
         self._next_state_body = self._next_purge = 0
         self._end_purge = snapshot.purges_after(after)
+        # The numbers continue after `after`, or begin lower if too few remain for all lines.
         self._next_number = max(1, min(after + 1, self.last_index - self.remaining_lines + 1))
 
     @property
@@ -85,7 +90,7 @@
         if self._end_purge - self._next_purge < MIN_PURGES_TO_COALESCE:
             return False
         remaining = self._purges[self._next_purge : self._end_purge]
-        oldest = remaining[-PURGES_PER_COALESCING:]
+        oldest = remaining[-PURGES_PER_COALESCING:]  # purges are ordered newest first
         replacement = purges_of_all_groups(oldest[0].index, max(entry.unix_ms for entry in oldest))
         self._purges = [*remaining[:-PURGES_PER_COALESCING], *replacement]
         self._next_purge, self._end_purge = 0, len(self._purges)
@@ -95,7 +100,8 @@
 def resumable_index(hello: FrontHello, last: int, log: EventLog, record: FrontRecord) -> int | None:
     """Return the number after which a connecting front can resume; None: it can't resume this stream.
 
-    The front's number is accepted only if this node has sent that event to the same incarnation.
+    `last`, the number in the front's `Follow`, is accepted only if this node has sent that event to the same
+    incarnation of the front.
 
     Raises:
         ProtocolError: The number is higher than that of the last event of this stream.
@@ -119,9 +125,9 @@
 
     def __init__(self, log: EventLog, catch_up_bytes_per_s: int) -> None:
         self.log = log
-        self.sent_index = 0  # the watcher already had or was sent all events up to this number
+        self.sent_index = 0  # all events up to this number were sent or already applied; 0 during a snapshot
         self.configuration_version = 0  # the last version that the watcher applied or rejected
-        self.unwritten = b""  # the rest of the last batch
+        self.unwritten = b""  # the greeting, or the rest of the last batch, which may be a load view
         self._queued_load_view = b""  # the next load view to write; a later one replaces it
         self._applied_index = 0
         self._catch_up_bytes_per_s = catch_up_bytes_per_s
@@ -138,7 +144,7 @@
         self.sent_index = self._applied_index = last
 
     def start_for_front(self, last: int | None) -> int:
-        """Start the stream to a front that has the events up to `last`; None: it has none of the stream.
+        """Start the stream to a front that has the events up to `last`; None: it can't resume this stream.
 
         Returns:
             The number of the last event that the snapshot covers; 0 if no snapshot is sent.
@@ -162,6 +168,7 @@
         self._queued_load_view = line
 
     def _is_far_behind(self, last: int) -> bool:
+        """Return whether the events after `last` would take a second or more at the snapshot's rate limit."""
         return (
             sum(len(entry.line) for entry in self.log.events_after(last, self._catch_up_bytes_per_s))
             >= self._catch_up_bytes_per_s
@@ -175,7 +182,11 @@
         return self._cursor is not None
 
     def next_batch(self, now: int) -> bytes:
-        """Return the bytes to write now, `b""` if there are none. Raises `FellBehindError`."""
+        """Return the bytes to write now, `b""` if there are none.
+
+        Raises:
+            FellBehindError: The log no longer retains the next events.
+        """
         if self.unwritten:
             return self.unwritten
         if self._queued_load_view:
@@ -192,6 +203,10 @@
         return b"".join(entry.line for entry in entries)
 
     def _snapshot_lines(self, cursor: SnapshotCursor, now: int) -> list[bytes]:
+        """Return lines for live events, and the portion of the snapshot that is due.
+
+        The portion is the entire rest of the snapshot if a live event got no number.
+        """
         lines, complete = self._live_lines(cursor)
         if not complete or now >= self._next_portion_at:
             portion = self._next_portion(cursor, self._portion_bytes if complete else None)
@@ -208,7 +223,7 @@
         return self._catch_up_bytes_per_s * SNAPSHOT_PORTION_NS // SECOND_NS
 
     def _live_lines(self, cursor: SnapshotCursor) -> tuple[list[bytes], bool]:
-        """Return lines for live events sent early; False if no number was free for at least one of them."""
+        """Return lines for the next live events, sent early; False if one of them got no free number."""
         if self._live_index == self.log.last_index:
             return [], True
         if not self.log.can_resume_after(self._live_index):
@@ -236,7 +251,7 @@
         self.unwritten = batch[count:]
 
     def time_until_ready(self, now: int) -> int | None:
-        """Return the nanoseconds until there may be data to write; None: not before the next event."""
+        """Return the nanoseconds until there may be data to write; None: not before an event or load view."""
         if self.unwritten or self._queued_load_view:
             return 0
         if self._cursor:
@@ -244,7 +259,7 @@
         return None if self.sent_index == self.log.last_index else 0
 
     def heartbeat_line(self) -> bytes:
-        """Return the heartbeat with the last event's number, or `b""` if some events were not sent yet."""
+        """Return the heartbeat with the last event's number, or `b""` if anything is left to write."""
         if self.unwritten or self._cursor or self.sent_index != self.log.last_index:
             return b""
         return b"%d\n" % self.log.last_index
--- a/marbleglade/control/front_client/list_sources.py
+++ b/marbleglade/control/front_client/list_sources.py
@@ -1,9 +1,9 @@
 """Decides which source's list of caches is in force at a front, without I/O.
 
-One source at a time is active: the primary control node or the discovery service. The changes of the other
-sources are merged meanwhile, so that any of them can take over at once. If another control node lists a cache
-as draining or removed, the front stops using that cache at once and doesn't use it again before the active
-source has withdrawn it too or the cache has started again.
+At most one source at a time is active: the primary control node or the discovery service. The changes of the
+other sources are merged meanwhile, so that any of them can take over at once. If another control node lists
+a cache as draining or removed, the front stops using that cache at once. `withdrawals.py` defines when the
+cache may be used again.
 """
 
 from __future__ import annotations
@@ -23,12 +23,13 @@
     """Merges the lists of all sources, and forwards the changes of the active one.
 
     Args:
-        apply: Called with the list changes of the active source.
-        on_withdrawn: Called with caches that a control node that is not active was the first to withdraw.
+        apply: Called with the list changes of the active source, in which caches that another source withdrew
+            are set to draining.
+        on_withdrawn: Called with the caches that an inactive control node withdraws before any other source.
 
     Attributes:
-        active: The stream of the active source; None while the list of the discovery service is incomplete
-            after its restart.
+        active: The stream of the active source; None if the discovery service restarted while active, until a
+            source is activated.
         merged: The merged list of each source, by its stream.
         withdrawals: The caches that sources listed as draining or removed.
     """
@@ -45,7 +46,7 @@
         self._full_replays: set[str] = set()
 
     def has_list(self, stream: str) -> bool:
-        """Return whether the stream has sent a complete list."""
+        """Return whether the merged list of the stream is complete, by a complete list or a full replay."""
         return stream in self.merged and self.merged[stream].complete
 
     def forget(self, stream: str) -> None:
@@ -57,7 +58,8 @@
     def begin_snapshot(self, stream: str) -> None:
         """Begin a snapshot.
 
-        Live changes that arrive before the complete list of the snapshot are newer than that list.
+        Live changes that arrive before the complete list of the snapshot are newer than that list. They are
+        kept and merged again after it.
         """
         self._changes_during_snapshot[stream] = MergedListChange()
 
@@ -68,13 +70,17 @@
     def record_caught_up(self, stream: str) -> None:
         """Record that the front has caught up with a stream.
 
-        If the stream was received from its first event on, its merged changes are a complete list then.
+        If the stream was received from its first event on, its merged changes now are a complete list.
+        Otherwise the complete list arrived with the snapshot.
         """
         if stream in self._full_replays and stream in self.merged:
             self.merged[stream].complete = True
 
     def handle_change(self, stream: str, change: EndpointListChange) -> None:
-        """Merge the next list change of a stream, and apply it if the stream is active."""
+        """Merge the next list change of a stream, and apply it if the stream is active.
+
+        On an inactive control node's stream, only the caches that it newly withdraws are passed on.
+        """
         if newer := self._changes_during_snapshot.get(stream):
             if not change.complete:
                 newer.add(change)
@@ -96,8 +102,8 @@
     def activate(self, stream: str) -> None:
         """Make a stream the active source, and apply its merged list as one change.
 
-        The discovery service may only be activated once the front has caught up with it. All lists originate
-        from it, so that its list overrides earlier withdrawals then.
+        The discovery service may be activated only once the front has caught up with it. All lists originate
+        from it, so the caches that it lists as active are no longer withdrawn.
         """
         merged = self.merged[stream]
         self.active = stream
@@ -109,9 +115,9 @@
             self._forward(stream, merged.as_change())
 
     def handle_discovery_restart(self) -> None:
-        """Handle that the indices of the discovery service start at 1 again.
+        """Discard the list of the discovery service after its restart, as its event indexes start at 1 again.
 
-        Its list is not applied before the front has caught up with it.
+        Its new list is applied only once it is activated, after the front has caught up with it.
         """
         self.merged[DISCOVERY] = MergedListChange()
         if self.active == DISCOVERY:
--- a/marbleglade/control/node/connection.py
+++ b/marbleglade/control/node/connection.py
@@ -1,4 +1,8 @@
-"""One connection to a control node: handles the requests of a front, watcher, other node or operator."""
+"""One connection to a control node: handles the requests of its peer.
+
+The peer is a watcher (a front or a client without a name that follows the event stream), another control node
+or an operator.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +39,8 @@
 from .watch_writer import WatchWriter
 
 STATUS_SEND_TIMEOUT_S = 5.0  # time in which an operator's connection must accept a status line
-# Suffix of the counter `control.closed.*` for each error that closes a connection.
+# Suffix of the counter `control.closed.*` for errors that close a connection. A `ProtocolError` has its own
+# suffix, and an `OSError` is counted as `lost`.
 CLOSE_REASONS: dict[type[Exception], str] = {
     InvalidLineError: "bad_line",
     FellBehindError: "fell_behind",
@@ -70,10 +75,14 @@
         """Run a function in a greenlet that is killed when the node stops."""
 
     def greeting(self, snapshot_to: int) -> Greeting:
-        """Return the greeting that starts the stream to a front or another node."""
+        """Return the greeting that starts the stream to a front or another node.
+
+        Args:
+            snapshot_to: The number of the last event that the following snapshot covers; 0: no snapshot.
+        """
 
     def close_replaced(self, number: int) -> None:
-        """Close the connection with this number, if any; its front has opened a new one."""
+        """Close the connection with this number, if any, because the same front has opened a new one."""
 
     def connection_closed(self, connection: ControlConnection, reason: str, detail: str) -> None:
         """Remove a closed connection; count and log why it was closed."""
@@ -96,7 +105,7 @@
         self.session: Session | None = None
         self.writer: WatchWriter | None = None
         self.open = True
-        self.wants_partial_views = False  # the peer is another control node that requested them
+        self.wants_partial_views = False  # the peer is a control node that requested partial views
 
     def run(self) -> None:
         """Read and handle requests until the connection ends; an error closes only this connection."""
@@ -118,7 +127,10 @@
         return self.session is not None or self.wants_partial_views
 
     def _handle(self, request: Request) -> None:
-        """Handle one request. Raises `ProtocolError` if it is not allowed in the connection's state."""
+        """Handle one request. Raises `ProtocolError` if it is not allowed at this point.
+
+        The reports of a front are allowed only after its `Follow`, all other requests only before a `Follow`.
+        """
         if self.session and self.hello:
             accepted = self._handle_after_follow(request, self.session, self.hello)
         elif self.session:
@@ -198,12 +210,12 @@
         session.queue_greeting(encode_greeting(self.host.greeting(snapshot_to)))
 
     def push(self, now: int) -> None:
-        """Write new events if the peer is a watcher."""
+        """Write new events if the peer follows the event stream."""
         if self.writer:
             self.writer.push(now)
 
     def heartbeat(self) -> None:
-        """Send a heartbeat if the peer is a watcher that was sent all events."""
+        """Send a heartbeat if the peer follows the event stream and was sent all events."""
         if self.writer:
             self.writer.heartbeat()
 
@@ -211,7 +223,7 @@
         """Write a line to another node without blocking; close the connection if only a part fits."""
         try:
             if send_now(self.sock, line) < len(line):
-                self.close("slow", "the send buffer has no space for the whole partial view")
+                self.close("slow", "the send buffer has no space for the whole line")
         except OSError as error:
             self.close("lost", str(error))
 
--- a/marbleglade/control/quorum/leader.py
+++ b/marbleglade/control/quorum/leader.py
@@ -18,14 +18,14 @@
 )
 from .state import Ballot, Value, Vote
 
-MAX_PENDING_PROPOSALS = 16  # excluding the proposal in the active round
+MAX_PENDING_PROPOSALS = 16  # most queued proposals; the proposal in the active round is not counted
 QUEUE_FULL = "too many proposals wait"
 NO_LEADER = "no majority of the control nodes answers"
 
 
 @dataclass(slots=True)
 class PendingProposal:
-    """A proposal without an outcome: queued behind other proposals, or in the active round.
+    """A proposal without an outcome: queued for a later round, or in the active round.
 
     Attributes:
         key: Identifies the proposal in the `Resolve` effect.
@@ -84,13 +84,13 @@
         self.active_round = None
         self.pending_proposals.clear()
 
-    def has_majority(self, oldest_reply: int) -> bool:
-        """Return whether this node and the followers that replied after `oldest_reply` are a majority."""
-        recent = sum(replied_at > oldest_reply for replied_at in self.last_reply_at.values())
+    def has_majority(self, since: int) -> bool:
+        """Return whether this node and the followers that replied later than `since` (ns) are a majority."""
+        recent = sum(replied_at > since for replied_at in self.last_reply_at.values())
         return recent + 1 >= self.group.majority
 
     def propose(self, proposal: PendingProposal) -> None:
-        """Queue a proposal; its round starts once all earlier proposals are decided."""
+        """Queue a proposal until the earlier ones are resolved; reject it if the queue is full."""
         if len(self.pending_proposals) >= MAX_PENDING_PROPOSALS:
             self.acceptor.resolve(proposal.key, ProposalRejected("", QUEUE_FULL))
             return
@@ -98,9 +98,10 @@
         self.start_next_round()
 
     def start_next_round(self) -> None:
-        """Start a round for the next queued proposal based on the chosen version; resolve the others.
+        """Start a round for the first queued proposal that is based on the chosen version.
 
-        A proposal whose id is that of the chosen value is a retry, and is resolved as accepted.
+        The proposals queued before it get no round: a retry of the chosen proposal, which has the same id, is
+        resolved as accepted, any other as a conflict.
         """
         while self.pending_proposals and not self.active_round:
             proposal = self.pending_proposals.popleft()
@@ -113,7 +114,7 @@
                 self.acceptor.resolve(proposal.key, ProposalConflict(chosen.version))
 
     def start_round(self, accept_round: AcceptRound) -> None:
-        """Accept a value on this node, and request the other members to accept it."""
+        """Accept a value on this node and request the others to accept it; a single node finishes at once."""
         self.active_round = accept_round
         vote = Vote(self.ballot, accept_round.value)
         self.acceptor.persist(replace(self.acceptor.state, accepted=vote))
@@ -130,14 +131,14 @@
         self.acceptor.broadcast(missing, Accept(self.ballot, self.active_round.value))
 
     def handle_accepted(self, sender: str, version: int, now: int) -> None:
-        """Record a follower's `Accepted` reply for this leader's ballot."""
+        """Record a follower's `Accepted` reply for this leader's ballot; finish the round on a majority."""
         self.last_reply_at[sender] = now
         if self.active_round and version == self.active_round.value.version:
             self.active_round.acceptors.add(sender)
             self._finish_round_on_majority(self.active_round)
 
     def handle_heartbeat_reply(self, sender: str, chosen_version: int, now: int) -> None:
-        """Record that a follower is alive, and send it the chosen value if its version is older."""
+        """Record the time of a follower's reply, and send it the chosen value if its version is older."""
         self.last_reply_at[sender] = now
         chosen = self.acceptor.state.chosen
         if chosen_version < chosen.version:
--- a/marbleglade/control/status/merge.py
+++ b/marbleglade/control/status/merge.py
@@ -1,9 +1,9 @@
 """Merges the statuses of several control nodes into the status of the deployment, without I/O.
 
 A front has applied a purge if its current incarnation has acknowledged the purge to any node. The current
-incarnation is the latest one that any node has recorded. A front counts as missing the purge if no node can
-show the acknowledgement. So does a front that is connected to no node and has not shut down gracefully, as it
-may have restarted since its last acknowledgement.
+incarnation is the latest one that any node has recorded. A front counts as missing the purge if no node has
+recorded the acknowledgement, or if the front is connected to no node, as it may have restarted since its last
+acknowledgement. A front that shut down gracefully and is connected to no node is not counted.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingFronts:
-    """Fronts that miss an event or are absent: their number and the names of the first ones."""
+    """Fronts that miss an event or are absent: their number, and the first names in order of the settings."""
 
     count: int
     first_names: tuple[str, ...]
@@ -41,9 +41,9 @@
 
     Attributes:
         received_unix_ms: The time at which the first node received the purge.
-        missing_fronts: The fronts that have not applied the purge.
-        duration_ms: Upper bound of the time from the first receipt to the last front's acknowledgement; None
-            if some front misses the purge.
+        missing_fronts: The fronts that have not applied the purge, and all absent fronts.
+        duration_ms: Upper bound of the time from the first node's receipt until every front had first
+            acknowledged the purge; None if some front misses it. See `_duration_ms`.
         live: True if a node received the purge when it was issued. If all nodes received it in a replay by
             the discovery service, the times are not meaningful.
     """
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationSummary:
-    """The newest configuration version in the deployment, with fields as in `PurgeSummary`; 0: none."""
+    """The newest configuration version, 0 if there is none; the other fields are as in `PurgeSummary`."""
 
     version: int
     received_unix_ms: int
@@ -133,16 +133,16 @@
 
 @dataclass(frozen=True, slots=True)
 class _Receipt:
-    """The time at which a node received an event, and fronts first acknowledged it, in Unix ms."""
+    """One event at one node: times of its receipt and of the last front's first acknowledgement."""
 
     received_unix_ms: int
-    connected_fronts: int
-    last_connected_unix_ms: int
-    last_unix_ms: int
+    connected_fronts: int  # the set of fronts that acknowledged and were connected since the receipt
+    last_connected_unix_ms: int  # the last first acknowledgement of these fronts
+    last_unix_ms: int  # the last first acknowledgement of all fronts
 
 
 def merge(settings: ControlSettings, answers: Iterable[NodeAnswer]) -> DeploymentStatus:
-    """Merge the answers of the nodes; a status of another deployment or another node is ignored."""
+    """Merge the answers of the nodes; a status of another deployment or another node counts as an error."""
     checked = tuple(_validate_answer(settings, answer) for answer in answers)
     names = [front for region in settings.regions for front in region.fronts]
     views = _node_views(names, [answer.status for answer in checked if answer.status])
@@ -255,7 +255,7 @@
 
 
 def _duration_ms(receipts: Sequence[_Receipt], expected: int) -> int:
-    """Return the time from the first receipt to the last front's first acknowledgement.
+    """Return an upper bound of the time from the first receipt until every front had first acknowledged.
 
     A front that reconnects to another node acknowledges earlier events there again. Only acknowledgements by
     fronts connected since the receipt are used if these cover all expected fronts, else all of them.
--- a/marbleglade/deployment/checks.py
+++ b/marbleglade/deployment/checks.py
@@ -82,12 +82,16 @@
             yield from _bounds_errors(f"{section_name}.{field}", getattr(section, field), bounds)
     if deployment.link.silent_ms < MIN_HEARTBEATS_TO_SILENCE * deployment.link.beat_ms:
         yield "link.silent_ms: must be at least three times link.beat_ms"
+    # A gateway needs both limits to cache objects of other regions; without them it caches none.
     if bool(deployment.limits.pace) != bool(deployment.limits.width):
         yield "limits.pace, limits.width: must both be positive, or both 0"
 
 
 class _UniqueValues:
-    """Checks that names and addresses are valid and used only once.
+    """Checks that names and addresses are valid and used only once among the fields passed to it.
+
+    One instance covers the names of all regions and gateways and the addresses of all gateways, another one
+    the names of all profiles.
 
     Attributes:
         path_by_name: The path of the field that used each name first.
@@ -117,7 +121,7 @@
 
 
 def _address_errors(path: str, text: str) -> Iterator[str]:
-    """Check an address that may be used more than once."""
+    """Check only the syntax of an address, which may be used more than once."""
     return _UniqueValues().address_errors(path, text)
 
 
--- a/marbleglade/fleet/load_view_aggregation.py
+++ b/marbleglade/fleet/load_view_aggregation.py
@@ -2,8 +2,8 @@
 
 Each front sends its load report to its primary control node. A node aggregates the reports of its own fronts
 into a partial view, the nodes exchange their partial views, and each node merges them into the view that it
-returns to its own fronts. So no sender addresses the whole fleet and no leader is needed. If a node dies, its
-partial view expires, and its fronts report to another node.
+returns to its own fronts. So no sender addresses the whole fleet, and the views need no leader. If a node
+dies, its partial view expires, and its fronts report to another node.
 
 This module does no I/O, reads no clock and has no randomness; times are nanoseconds of the caller's monotonic
 clock. The number of a front is its position in the control plane's settings, which are the same at all nodes
@@ -32,9 +32,9 @@
 )
 
 MAX_ZONES = 64  # zones in a partial view; the view for a front has that front's zone only
-FILL_LINK_COUNT = FIRST_ZONE_LINK  # number of links that belong to no zone; they carry fills
-NODE_TERM = 1  # the term of all views that control nodes compute, because these nodes elect no leader
-MERGES_PER_PERIOD = 4  # most merges of the partial views at a node
+FILL_LINK_COUNT = FIRST_ZONE_LINK  # links that belong to no zone: for origin fetches and for other fills
+NODE_TERM = 1  # the term of all views of control nodes; constant, as no elected leader computes them
+MERGES_PER_PERIOD = 4  # most merges of the partial views at a node in one reporting period
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
         period: Nanoseconds between two reports of a front, and between two partial views of a node.
         aggregator: The reports of this node's own fronts.
         partial_views: The latest partial view of each other node, by the node's name.
-        merged: The view of all fronts, computed up to `MERGES_PER_PERIOD` times per period.
+        merged: The view of all fronts, computed at most `MERGES_PER_PERIOD` times per period.
         merged_at: Time at which `merged` was computed, ns.
     """
 
@@ -71,7 +71,7 @@
         return self.aggregator.add_report(front, report, now)
 
     def add_partial_view(self, node: str, view: AggregatedView, now: int) -> bool:
-        """Store another node's partial view; false if it is not newer than the fresh one stored for it."""
+        """Store another node's partial view; false if it is not newer than that node's stored fresh one."""
         last = self.partial_views.get(node)
         if last and view.sequence <= last.view.sequence and self._is_fresh(last, now):
             return False
@@ -115,7 +115,7 @@
 
 
 def _merge_zone_loads(views: list[AggregatedView]) -> dict[int, ZoneLoad]:
-    """Return the latest load of each zone, with one prober chosen among those in the partial views."""
+    """Return the latest load of each zone, with one load prober chosen among those in the partial views."""
     loads: dict[int, ZoneLoad] = {}
     probers: dict[int, list[int]] = {}
     for view in views:
@@ -129,7 +129,7 @@
 
 
 def _merge_open_circuits(views: list[AggregatedView]) -> dict[int, OpenCircuit]:
-    """Return the circuits that the most fronts have open, with one prober chosen among those in the views."""
+    """Return the circuits that the most fronts have open, each with one half-open prober from the views."""
     reporters: Counter[int] = Counter()
     probers: dict[int, list[int]] = {}
     for view in views:
@@ -147,7 +147,7 @@
 
 
 def restrict_to_zone(view: AggregatedView, zone: int) -> AggregatedView:
-    """Return a view with the links and the load of one zone only, and the links that belong to no zone."""
+    """Return a copy of the view without the links and the loads of other zones."""
     keys = {*range(FIRST_ZONE_LINK), FIRST_ZONE_LINK + zone}
     links = {key: link for key, link in view.links.items() if key in keys}
     zone_loads = {zone: view.zone_loads[zone]} if zone in view.zone_loads else {}
--- a/marbleglade/fleet/membership.py
+++ b/marbleglade/fleet/membership.py
@@ -18,17 +18,17 @@
 from .gossip_messages import Ack, Gossip, MemberStatus, MemberUpdate, Outgoing, Ping, PingRequest
 from .member_table import MAX_LOCAL_HEALTH, MemberTable
 
-# Ratios to the probe interval.
-ACK_TIMEOUT = 1 / 3  # time without an acknowledgement after which indirect probes are requested
-PAUSE_THRESHOLD = 2  # a longer time between two ticks means that this process was paused
+ACK_TIMEOUT = 1 / 3  # share of the probe timeout after which indirect probes are requested
+PAUSE_THRESHOLD = 2  # probe intervals; more time between two ticks means that the process was paused
 
-INDIRECT_PROBES = 3  # members that receive a request to probe, or the notice of a leaving front
+# Number of members that are requested to probe a target indirectly, and that a leaving front notifies.
+INDIRECT_PROBES = 3
 PROBES_PER_UNREACHABLE_PROBE = 4  # every fourth probe goes to a member that left or died, if there is any
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeRequester:
-    """The member that requested an indirect probe, and the sequence number of its request."""
+    """The member that requested an indirect probe, and the sequence number of the request."""
 
     member: int
     sequence: int
@@ -39,8 +39,8 @@
     """A ping that has not been acknowledged yet."""
 
     target: int
-    sent_at: int
-    is_indirect: bool = False  # whether indirect probes of the target were requested
+    sent_at: int  # ns
+    is_indirect: bool = False  # whether this front has requested indirect probes of the target
     requester: ProbeRequester | None = None  # set if another member requested this probe
 
 
@@ -58,7 +58,7 @@
         self.probe_order: list[int] = []  # members still to probe in this round, the next one last
 
     def leave(self, now: int) -> list[Outgoing[Gossip]]:
-        """Leave the fleet intentionally: notify a few members at once, and send no more probes."""
+        """Leave the fleet intentionally: notify a few members at once, and start no more probe rounds."""
         self.is_leaving = True
         self.own_entry.status = MemberStatus.LEFT
         self.version += 1
@@ -89,7 +89,7 @@
         return outgoing
 
     def receive(self, sender: int, message: Gossip, now: int) -> list[Outgoing[Gossip]]:
-        """Apply the updates of a message and return the replies."""
+        """Apply the updates of a message, and return the messages to send to its sender or to others."""
         for update in message.updates:
             self.apply_update(update, now)
         if isinstance(message, Ping):
@@ -101,14 +101,20 @@
         return self._receive_ack(message)
 
     def _compensate_for_pause(self, paused: int) -> None:
-        """Discard probes and extend suspicions: messages missing in a pause are no sign of failed members."""
+        """Discard probes, extend suspicions and set the local health to its worst value after a pause.
+
+        A paused process reads no messages, so their absence does not show that the members failed.
+        """
         self.probes.clear()
         self.local_health = MAX_LOCAL_HEALTH
         for member in self.members.values():
             member.suspicion_ends_at += paused
 
     def _check_probes(self, timeout: int, now: int) -> list[Outgoing[Gossip]]:
-        """Request indirect probes where an acknowledgement is late, and suspect targets after the timeout."""
+        """Request indirect probes where an acknowledgement is late, and suspect targets after the timeout.
+
+        Each timeout also worsens the local health. A probe that another member requested is only discarded.
+        """
         outgoing: list[Outgoing[Gossip]] = []
         for sequence, probe in list(self.probes.items()):
             waited = now - probe.sent_at
@@ -148,7 +154,8 @@
     def _next_probe_target(self) -> int | None:
         """Return the next member to probe; None if there is none.
 
-        The alive members follow in random order; every fourth time it is an unreachable one.
+        Every fourth target is a member that left or died, if there is any. The others are the alive members,
+        each once per round in random order.
         """
         self.probe_count += 1
         if self.probe_count % PROBES_PER_UNREACHABLE_PROBE == 0:
@@ -169,7 +176,7 @@
         return Outgoing(target, Ping(self.last_sequence, target, self.updates_for(target)))
 
     def _probe_on_behalf(self, sender: int, request: PingRequest, now: int) -> list[Outgoing[Gossip]]:
-        """Probe a member on behalf of another, one at a time per requester, which bounds the traffic."""
+        """Probe a member for a requester; one at a time for each requester, which bounds the traffic."""
         is_known = request.target in self.members and request.target != self.own_number
         is_busy = any(probe.requester and probe.requester.member == sender for probe in self.probes.values())
         if not is_known or is_busy:
--- a/marbleglade/maintenance/coordinator.py
+++ b/marbleglade/maintenance/coordinator.py
@@ -1,8 +1,8 @@
 """Coordinator of maintenance at one front: the plan in force, the leader, and the machines out of service.
 
 Free of I/O, clocks and randomness: `tick` and `receive` return the messages to send. The caller passes in the
-observation of the machines. `is_granted` states whether this front is out of service, and `granted_starts_ms`
-which upstreams are.
+observation of the upstreams. `is_granted` states whether this front may be out of service.
+`granted_starts_ms` has the process start for which each machine, upstream or front, was last granted.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @lru_cache(1 << 14)
 def machine_key(name: str) -> int:
-    """Return the 32-bit hash that represents a machine's name in messages between fronts."""
+    """Return the 32-bit hash that stands for a machine's name in messages between fronts."""
     return name_hash(name.encode())
 
 
@@ -64,9 +64,8 @@
         self.preferred_at = now - lease
         self.finished_plan_ms = 0  # `created_ms` of the last finished plan; 0: none
         self.decision = ScheduleDecision()
-        # Machines (upstreams and fronts) that a majority granted, as far as this front knows: by machine key,
-        # the process start that was granted, the latest one, in Unix ms. An entry stays when the machine
-        # returns to service; it is void for a process with a later start.
+        # Latest process start, in Unix ms, for which a majority granted each machine, by machine key, if
+        # this front received the grant. The entry is kept when the machine returns with a later start.
         self.granted_starts_ms: dict[int, int] = {}
 
     @property
@@ -79,7 +78,7 @@
         return self.plan_exchange.adopt(plan, plan_bytes, now)
 
     def preferred_leader(self, now: int) -> int | None:
-        """Return the preferred leader: by hash one of the healthy voters, if possible of those in service."""
+        """Return the healthy voter that `preferred_holder` selects, in service if there is one."""
         if now - self.preferred_at >= self.lease * REQUEST_INTERVAL_SHARE:
             self.preferred_at = now
             voters = [number for number in self.membership.healthy() if number in self.quorum.member.voters]
@@ -92,7 +91,11 @@
     def tick(
         self, now: int, observe: Callable[[], UpstreamObservations]
     ) -> list[Outgoing[MaintenanceMessage]]:
-        """Run the timers and return the messages that are due; calls `observe` only as the leader."""
+        """Run the timers and return the messages that are due.
+
+        Only the table inquiry runs if no maintenance is pending and this front neither leads nor transfers a
+        plan. `observe` is called only while this front holds the lease.
+        """
         member = self.quorum.member
         if len(self.membership.members) != member.member_count:
             self.quorum.resize(len(self.membership.members), now)
@@ -121,7 +124,7 @@
         return outgoing
 
     def snapshot(self, now: int, observation: UpstreamObservations) -> FleetSnapshot:
-        """Return the state of all listed machines, with all grants of the table, committed or not."""
+        """Return the state of all listed machines, with their grants in the table, committed or not."""
         unix_ms = self.plan_exchange.unix_ms(now)
         observations: dict[str, NodeObservation] = {}
         groups: dict[str, Group] = {}
@@ -150,7 +153,7 @@
         return self.inquiry.outcome(now, self.quorum.member.member_count)
 
     def is_informed(self, now: int) -> bool:
-        """Return whether this front knows which machines are out of service, as far as any front does."""
+        """Return whether the inquiry obtained the latest table, or showed that no member has one."""
         return self.inquiry_outcome(now).is_informed
 
     def is_granted(self, now: int) -> bool:
@@ -178,9 +181,9 @@
                 return self.plan_exchange.receive_part(message, now)
 
     def _answer_query(self, sender: int, now: int) -> list[Outgoing[MaintenanceMessage]]:
-        """Answer a query for the table, unless this front is not informed itself.
+        """Answer a query with the table if this front is informed, else query the sender.
 
-        After the inquiry's time-out this front serves without having learned the table: an empty reply would
+        After the inquiry's time-out this front serves without having received the table. An empty reply would
         then state that no machine is out of service.
         """
         queries = self.inquiry.receive_query(sender, now, self.quorum.member.member_count)
@@ -232,7 +235,7 @@
     def _offer_plan(
         self, sent: list[Outgoing[MaintenanceMessage]], leader: int | None, is_pending: bool, now: int
     ) -> list[Outgoing[MaintenanceMessage]]:
-        """Offer the plan in force: as the leader to the receivers of its appends, else to the leader."""
+        """Offer the plan in force: the leader to members in the receivers of `sent`, others to the leader."""
         if self.plan and self.quorum.member.is_leader:
             reached = {item.to for item in sent if isinstance(item.message, Append)}
             return self.plan_exchange.offer_to_members(
@@ -243,7 +246,7 @@
         return []
 
     def _apply_schedule(self, now: int, observation: UpstreamObservations) -> None:
-        """As the leader, update the table: remove machines that returned, then revoke and grant."""
+        """As the leader, remove, revoke and grant; step down once the plan and the table are finished."""
         leader, table = self.quorum.leader_role, self.quorum.table
         snapshot = self.snapshot(now, observation)
         self._remove_returned(now, snapshot)
@@ -283,10 +286,9 @@
         self.granted_starts_ms[key] = max(started_ms, self.granted_starts_ms.get(key, 0))
 
     def _granted_entries(self, now: int) -> tuple[TableEntry, ...]:
-        """Return the entries of the table that a majority granted, as far as this front knows.
+        """Return the table's entries of machines that a majority granted at any time, as recorded here.
 
-        A grant outlives its leader: once committed, it stays in effect while the next leader is elected and
-        has not yet collected a majority's confirmations.
+        A committed grant stays in effect until the next leader has collected a majority's confirmations.
         """
         return tuple(
             entry for entry in self.quorum.table.entries(now) if entry.machine in self.granted_starts_ms
--- a/marbleglade/maintenance/schedule.py
+++ b/marbleglade/maintenance/schedule.py
@@ -2,8 +2,8 @@
 
 Decisions depend on one snapshot alone: which machines are out of service, which serve, which have warmed up,
 and the current load. A machine is completed once it serves with a process start later than the plan, so the
-progress of a plan needs no record that would have to survive a restart. A machine that does not serve, for
-any reason, counts as out of service.
+progress of a plan needs no record that would have to survive a restart. A machine that does not serve for
+another reason counts against the limits like one that is out of service.
 
 Free of I/O, clocks and randomness.
 """
@@ -16,7 +16,7 @@
 from .plan import MAX_OUT_OF_SERVICE, ConcurrencyLimit, Group, Kind, Machine, MaintenancePlan
 from .snapshot import FleetSnapshot, is_out_of_service, is_serving
 
-MAX_LOAD = 0.8  # load over serving capacity, above which no further machine is taken out
+MAX_LOAD = 0.8  # most load of a kind, relative to its serving capacity, with which a machine may be taken out
 
 
 @dataclass(slots=True)
@@ -27,7 +27,8 @@
         granted: Names of the machines that go out of service now.
         recalled: Names of the fronts that return to service now.
         completed: Names of the machines whose maintenance is completed.
-        waiting: Why each other machine waits, by name.
+        waiting: Why each other machine of the plan is not completed, by name, including machines that are out
+            of service; empty for a withdrawn plan.
         halted: Why no more machines of a kind are granted, by kind.
     """
 
@@ -39,7 +40,7 @@
 
     @property
     def is_finished(self) -> bool:
-        """True if no machine waits and none goes out of service."""
+        """True if no planned machine waits, is out or goes out now; always true for a withdrawn plan."""
         return not self.waiting and not self.granted
 
 
@@ -49,7 +50,11 @@
 
 
 class _ServingCounts:
-    """Number of machines, and of those that do not serve, for each kind and each group."""
+    """Numbers of machines and of machines that do not serve, for each kind and each group.
+
+    `not_serving` counts listed machines only. The names in `unavailable` also include granted machines that
+    are not listed.
+    """
 
     def __init__(self, snapshot: FleetSnapshot) -> None:
         self.groups = snapshot.groups
@@ -80,7 +85,7 @@
 
 
 class _Scheduler:
-    """State of one decision: the plan, the snapshot, and what has been decided so far."""
+    """State of one decision: the plan, the snapshot, and the part of the decision made so far."""
 
     def __init__(self, plan: MaintenancePlan, snapshot: FleetSnapshot) -> None:
         self.plan = plan
@@ -116,7 +121,7 @@
         return self._is_restarted(machine.name) and is_serving(self.snapshot, machine.name)
 
     def _candidates(self) -> list[Machine]:
-        """Return the machines still to take out, the slowest first, equal ones in the order of their keys."""
+        """Return the machines still to take out, by falling slowdown, with equal slowdown by rising key."""
         remaining = [
             machine
             for machine in self.plan.machines
@@ -131,7 +136,7 @@
     def _halt_kinds(self) -> None:
         """Halt the kind of a machine that is out for too long, or that failed after its restart.
 
-        The kind is halted until that machine is back and warm, or a later plan does not contain it.
+        The kind is halted until that machine has restarted and is up, or a later plan does not contain it.
         """
         for machine in self.plan.machines:
             name = machine.name
@@ -147,7 +152,8 @@
     def _recall_fronts(self) -> None:
         """Recall fronts that are out of service and still run, the last granted first.
 
-        They are recalled if the plan is withdrawn or does not contain them, or if too few others serve now.
+        They are recalled if the plan is withdrawn or does not contain them, or if too few fronts of the group
+        serve now or the load of the serving fronts is too high.
         """
         snapshot = self.snapshot
         fronts = [name for name in snapshot.grants if self._is_running_front(name)]
@@ -208,7 +214,7 @@
         return f"{limit}, and {', '.join(counted[:3])} {'is' if len(counted) == 1 else 'are'} out"
 
     def _machine_named(self, name: str) -> Machine:
-        """Return the machine with a name; one that is not in the plan is built from its group, for limits."""
+        """Return the machine of the plan with a name; for another machine, build one from its group."""
         if name in self.machines:
             return self.machines[name]
         group = self.snapshot.groups.get(name, Group(Kind.CACHE, ""))
