--- a/marbleglade/maintenance/lease_election.py
+++ b/marbleglade/maintenance/lease_election.py
@@ -24,7 +24,10 @@
     def receive_vote_request(
         self, sender: int, request: VoteRequest, now: int
     ) -> list[Outgoing[QuorumMessage]]:
-        """Return a vote, or a message with this voter's later term, or nothing."""
+        """Return a vote, or a message with this voter's later term, or nothing.
+
+        A leader that holds its lease does not vote: it enters the later term itself, to be elected again.
+        """
         member = self.member
         table = member.table
         if now < member.silent_until or not {member.own_number, sender} <= member.voters:
--- a/marbleglade/maintenance/table_query.py
+++ b/marbleglade/maintenance/table_query.py
@@ -51,7 +51,7 @@
 
     @property
     def is_informed(self) -> bool:
-        """True if the front knows which machines are out of service, as far as any front does."""
+        """True if the inquiry obtained the latest table, or showed that no member has one."""
         return self not in (InquiryOutcome.WAITING, InquiryOutcome.TIMEOUT)
 
 
