--- a/marbleglade/disk/disk_cache.py
+++ b/marbleglade/disk/disk_cache.py
@@ -154,13 +154,9 @@
         """Write a part if it is admitted. Return whether it was written; it may not be synced yet.
 
         A part is not written if it is too large or purged, or if the cached version is not older.
-
-        Args:
-            object_id: Id of the object.
-            part: Number of the part in its object.
-            content: The part. If its tag differs from that of the cached part, all parts of older versions of
-                the object are removed, even if the part is not admitted.
-            now_ns: Current monotonic time in nanoseconds, for the write budget.
+        If the tag of `content` differs from that of the cached part, all parts of older versions of the
+        object are removed, even if the part is not admitted. `part` is the part's number in its object, and
+        `now_ns` is the current monotonic time in nanoseconds, for the write budget.
         """
         part_id = PartId(object_id, part)
         size = len(content.body)
--- a/marbleglade/maintenance/coordinator.py
+++ b/marbleglade/maintenance/coordinator.py
@@ -36,15 +36,10 @@
 
 
 class MaintenanceCoordinator:
-    """Maintenance state and messages of one front.
-
-    Args:
-        own_number: The number of this front.
-        membership: The membership of the fleet.
-        started_ms: When this front started, in Unix milliseconds.
-        lease: Duration of the maintenance lease, ns.
-        warm_up_ms: Duration of a front's warm-up after its start, in milliseconds.
-        now: The current time of the monotonic clock, ns.
+    """Maintenance state and messages of the front `own_number`, with the fleet's `membership`.
+
+    This front started at `started_ms`, in Unix milliseconds. The maintenance lease lasts `lease` ns. The
+    warm-up of a front after its start lasts `warm_up_ms` milliseconds. `now` is the current monotonic time, ns.
     """
 
     def __init__(
@@ -91,11 +86,7 @@
     def tick(
         self, now: int, observe: Callable[[], UpstreamObservations]
     ) -> list[Outgoing[MaintenanceMessage]]:
-        """Run the timers and return the messages that are due.
-
-        Only the table inquiry runs if no maintenance is pending and this front neither leads nor transfers a
-        plan. `observe` is called only while this front holds the lease.
-        """
+        """Run the timers; return due messages. `observe` is called only while this front holds the lease."""
         member = self.quorum.member
         if len(self.membership.members) != member.member_count:
             self.quorum.resize(len(self.membership.members), now)
@@ -103,7 +94,7 @@
         outgoing: list[Outgoing[MaintenanceMessage]] = [*self.inquiry.tick(now, member.member_count)]
         is_pending = self._is_maintenance_pending()
         if not (is_pending or member.is_leader or self.plan_exchange.transfer):
-            return outgoing
+            return outgoing  # only the table inquiry runs
         has_current_leader = (
             member.leader in self.membership.members and now - member.last_contact_at < self.lease
         )
@@ -181,13 +172,11 @@
                 return self.plan_exchange.receive_part(message, now)
 
     def _answer_query(self, sender: int, now: int) -> list[Outgoing[MaintenanceMessage]]:
-        """Answer a query with the table if this front is informed, else query the sender.
-
-        After the inquiry's time-out this front serves without having received the table. An empty reply would
-        then state that no machine is out of service.
-        """
+        """Answer a query with the table if this front is informed, else query the sender."""
         queries = self.inquiry.receive_query(sender, now, self.quorum.member.member_count)
         if not self.is_informed(now):
+            # After the inquiry's time-out this front serves without having received the table. An empty
+            # reply would then state that no machine is out of service.
             return [*queries]
         return [Outgoing(sender, TableReply(self._granted_entries(now)))]
 
@@ -286,10 +275,8 @@
         self.granted_starts_ms[key] = max(started_ms, self.granted_starts_ms.get(key, 0))
 
     def _granted_entries(self, now: int) -> tuple[TableEntry, ...]:
-        """Return the table's entries of machines that a majority granted at any time, as recorded here.
-
-        A committed grant stays in effect until the next leader has collected a majority's confirmations.
-        """
+        """Return the table's entries of machines that a majority granted at any time, as recorded here."""
+        # A committed grant stays in effect until the next leader has collected a majority's confirmations.
         return tuple(
             entry for entry in self.quorum.table.entries(now) if entry.machine in self.granted_starts_ms
         )
--- a/marbleglade/protocols/client_protocol.py
+++ b/marbleglade/protocols/client_protocol.py
@@ -225,14 +225,10 @@
 def _decode_request(
     tag: int, strings: list[bytes], request_classes: Mapping[str, RequestClass]
 ) -> ClientRequest | None:
-    """Return a request, or None if it is invalid.
-
-    It is invalid if the number of strings is wrong, the request class is unknown, or a field is missing,
-    repeated, malformed or out of range.
-    """
+    """Return a request, or None if it is invalid."""
     fields = _unique_fields(strings[3]) if 4 <= len(strings) <= 5 else None
     if fields is None:
-        return None
+        return None  # the number of strings is wrong, or a field is repeated
     trace_id, object_id = fields.get(b"trace", b""), fields.get(b"entity", b"")
     cached_etag, idempotency_key = fields.get(b"cached", b""), fields.get(b"nonce", b"")
     numbers = [fields.get(name, b"") for name in (b"patience", b"block", b"family")]
@@ -244,12 +240,12 @@
         or (idempotency_key and not IDEMPOTENCY_KEY.fullmatch(idempotency_key))
         or not all(map(NUMBER.fullmatch, numbers))
     ):
-        return None
+        return None  # the request class is unknown, or a field is missing or malformed
     timeout_ms, part, group = map(int, numbers)
     timeout_ns = timeout_ms * MILLISECOND_NS
     longest_timeout = MAX_TIMEOUT_FACTOR * request_classes[name].client_timeout
     if not 0 < timeout_ns <= longest_timeout or group > MAX_GROUP:
-        return None
+        return None  # a field is out of range
     return ClientRequest(
         tag=tag,
         request_class=request_classes[name],
