--- a/marbleglade/gateway/link/messages.py
+++ b/marbleglade/gateway/link/messages.py
@@ -99,7 +99,7 @@
     DrainNotice: "leaving",
     ConnectionRefused: "refused",
 }
-RESPONSE_HEAD_WORD_BY_OUTCOME = {
+HEAD_STATUS_BY_OUTCOME = {
     RequestOutcome.REJECTED: ResponseHead.PUSHED_BACK,
     RequestOutcome.FAILED: ResponseHead.BROKEN_OFF,
 }
@@ -192,7 +192,7 @@
         missing = response.object_missing
         return ResponseHead(
             number=number,
-            word=ResponseHead.LACKING if missing else RESPONSE_HEAD_WORD_BY_OUTCOME[response.outcome],
+            word=ResponseHead.LACKING if missing else HEAD_STATUS_BY_OUTCOME[response.outcome],
             ran=response.may_have_run,
             pause_ms=response.retry_after // MILLISECOND_NS,
         )
--- a/marbleglade/maintenance/coordinator.py
+++ b/marbleglade/maintenance/coordinator.py
@@ -39,7 +39,7 @@
     """Maintenance state and messages of the front `own_number`, with the fleet's `membership`.
 
     This front started at `started_ms`, in Unix milliseconds. The maintenance lease lasts `lease` ns. The
-    warm-up of a front after its start lasts `warm_up_ms` milliseconds. `now` is the current monotonic time, ns.
+    warm-up of a front after its start lasts `warm_up_ms` ms. `now` is the current monotonic time, ns.
     """
 
     def __init__(
